--- a/crates/ingress/src/coordination/calls.rs
+++ b/crates/ingress/src/coordination/calls.rs
@@ -196,7 +196,7 @@
     fn of(sample: LoadSample) -> Self {
         Self {
             took_ms: sample.took.as_millis(),
-            promised_ms: sample.promised.as_millis(),
+            promised_ms: sample.nominal.as_millis(),
             in_flight: format!("{:.1}", sample.in_flight),
             limit: format!("{:.1}", sample.limit),
         }
--- a/crates/ingress/src/coordination/leading.rs
+++ b/crates/ingress/src/coordination/leading.rs
@@ -112,7 +112,7 @@
         if is_new || waits {
             self.plan_soon(now);
         }
-        self.placement.usage(usage, now);
+        self.placement.update_usage(usage, now);
     }
 
     /// Takes in what a member knows of what runners hold.
@@ -128,7 +128,7 @@
             self.dissemination.has_gap(member, notice.known);
         }
         self.dissemination.answer_soon(member);
-        self.placement.waiting(notice, now);
+        self.placement.update_waiting(notice, now);
         self.plan_soon(now);
     }
 
@@ -150,10 +150,10 @@
             self.place_at_runners(&tables);
             if !self.has_beliefs {
                 self.has_beliefs = true;
-                self.placement.believe(&tables.runners);
+                self.placement.assume_holdings(&tables.runners);
             }
         }
-        self.placement.hear_notices(&tables.notices, now);
+        self.placement.apply_notices(&tables.notices, now);
         drop(tables);
         self.placement.plan(now)
     }
@@ -192,7 +192,7 @@
         let pause = pause.clamp(LEAST_PLAN_PAUSE, LONGEST_PLAN_PAUSE);
         self.plan_allowed = now + pause;
         self.plan_due = now + PLAN_INTERVAL.max(pause);
-        if let Some(expected) = self.placement.next_expected() {
+        if let Some(expected) = self.placement.next_expected_completion() {
             self.plan_due = self.plan_due.min(self.plan_allowed.max(expected));
         }
     }
--- a/crates/ingress/src/coordination/lease_changes.rs
+++ b/crates/ingress/src/coordination/lease_changes.rs
@@ -28,7 +28,7 @@
         let placement = Placement::new(self.shared.settings.placement, now, orders_from);
         let regions = self.shared.locality.regions().clone();
         let placement = placement.in_regions(regions);
-        let mut placement = placement.numbered_after(self.holdings_version);
+        let mut placement = placement.with_versions_above(self.holdings_version);
         if let Some(configuration) = self.shared.configuration() {
             placement.configure(&configuration);
         }
--- a/crates/ingress/src/coordination/mod.rs
+++ b/crates/ingress/src/coordination/mod.rs
@@ -534,7 +534,9 @@
                 if let Some(report) = report.as_ref().filter(|it| !it.is_of(&runner)) {
                     log_foreign_report(&self.shared, &runner, report, term);
                 }
-                let settled = leading.placement.reported(&runner, report, asked_at, now);
+                let settled = leading
+                    .placement
+                    .apply_report(&runner, report, asked_at, now);
                 leading.plan_soon(now);
                 if let Some(settled) = settled {
                     log_settled(&self.shared, &runner, &settled, term);
@@ -581,7 +583,7 @@
             return;
         }
         if let Some(leading) = self.leading.as_mut().filter(|it| it.term == term) {
-            leading.placement.answered(runner, answer, now);
+            leading.placement.apply_answer(runner, answer, now);
             leading.plan_soon(now);
         }
     }
--- a/crates/routing/benches/plan.rs
+++ b/crates/routing/benches/plan.rs
@@ -1,7 +1,8 @@
-//! Processor time of the coordinator against the number of daemons and runners: for taking in a
-//! message of a member, for a plan, and for the messages to one member.
+//! CPU time of the coordinator by the number of daemons and runners: for a usage message of a
+//! member, for a plan, and for the messages to all members.
 //!
-//! Run with `cargo bench -p flaxward-routing`. Nothing is carried out, so each plan decides afresh.
+//! Run with `cargo bench -p flaxward-routing`. No action is carried out, so each plan decides
+//! afresh.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -23,22 +24,22 @@
 use flaxward_routing::strength::MachineStrength;
 use flaxward_types::time::Timestamp;
 
-/// Daemons, runners and models of each size.
+/// Numbers of daemons, runners and models.
 const SIZES: [(usize, usize, usize); 4] = [
     (6, 9, 34),
     (80, 140, 481),
     (295, 240, 862),
     (300, 3_000, 590),
 ];
-/// Units that a member has used lately.
+/// Units that a member has recently used.
 const USED_UNITS: usize = 40;
 /// Requests in progress at a member.
 const RUNNING_REQUESTS: usize = 12;
 /// Units that a member's requests wait for.
 const WAITING_UNITS: usize = 2;
-/// Models that a runner holds.
+/// Models on each runner.
 const MODELS_HELD: usize = 3;
-/// Plans that are timed.
+/// Number of plans that are timed.
 const PLANS: u32 = 10;
 
 fn unit(index: usize, models: usize) -> Unit {
@@ -160,7 +161,7 @@
     }
 }
 
-/// A coordinator that has read all reports and heard all members.
+/// A coordinator that has read all reports and received the usage of all members.
 fn coordinator(members: usize, runners: usize, models: usize) -> Placement {
     let start = Timestamp(1_000);
     let mut placement = Placement::new(PlacementSettings::default(), start, start);
@@ -168,16 +169,16 @@
     let all: Vec<Runner> = (0..runners).map(runner).collect();
     placement.set_runners(all.iter());
     for (index, runner) in all.iter().enumerate() {
-        placement.reported(&runner.id, Some(report(index, models)), start, start);
+        placement.apply_report(&runner.id, Some(report(index, models)), start, start);
     }
     for member in 0..members {
-        placement.usage(usage(member, runners, models), start);
+        placement.update_usage(usage(member, runners, models), start);
     }
     placement
 }
 
-/// Time for one round of messages to all members after one runner began to drain.
-fn telling(members: usize, runners: usize, models: usize) -> Duration {
+/// Duration of one round of messages to all members after one runner began to drain.
+fn measure_messages(members: usize, runners: usize, models: usize) -> Duration {
     let mut placement = coordinator(members, runners, models);
     let mut table = RunnerTable::default();
     table.replace((0..runners).map(runner).collect(), 5);
@@ -193,10 +194,10 @@
     table.insert(drained, 6);
     table.set_revision(6);
     header.store.membership_revision = 6;
-    let begun = Instant::now();
+    let started = Instant::now();
     let messages = dissemination.messages(&placement, &table, &header, Timestamp(1_620));
     assert!(messages.len() >= members, "{} messages", messages.len());
-    begun.elapsed()
+    started.elapsed()
 }
 
 fn header() -> Direction {
@@ -226,24 +227,24 @@
 fn measure(members: usize, runners: usize, models: usize) {
     let mut placement = coordinator(members, runners, models);
     let usages: Vec<Usage> = (0..members).map(|it| usage(it, runners, models)).collect();
-    let begun = Instant::now();
+    let started = Instant::now();
     for usage in usages {
-        placement.usage(usage, Timestamp(1_010));
+        placement.update_usage(usage, Timestamp(1_010));
     }
-    let a_message = begun.elapsed() / u32::try_from(members).expect("few daemons");
-    let mut planning = Duration::ZERO;
+    let per_message = started.elapsed() / u32::try_from(members).expect("few daemons");
+    let mut planning_time = Duration::ZERO;
     for _ in 0..PLANS {
         let mut placement = coordinator(members, runners, models);
-        let begun = Instant::now();
+        let started = Instant::now();
         placement.plan(Timestamp(1_020));
-        planning += begun.elapsed();
+        planning_time += started.elapsed();
     }
     println!(
         "{members} daemons, {runners} runners, {models} models: \
-         a message {:.1} us, a plan {:.1} us, heartbeats to all {:.1} us",
-        a_message.as_secs_f64() * 1e6,
-        (planning / PLANS).as_secs_f64() * 1e6,
-        telling(members, runners, models).as_secs_f64() * 1e6
+         {:.1} us per message, {:.1} us per plan, {:.1} us for the heartbeats to all members",
+        per_message.as_secs_f64() * 1e6,
+        (planning_time / PLANS).as_secs_f64() * 1e6,
+        measure_messages(members, runners, models).as_secs_f64() * 1e6
     );
 }
 
--- a/crates/routing/src/dissemination.rs
+++ b/crates/routing/src/dissemination.rs
@@ -19,8 +19,8 @@
 use crate::membership::MembershipUpdate;
 use crate::messages::{Direction, HoldingsSummary, KnownState, RunnerLoad, UnitOutlook};
 use crate::pacing::{self, Pacer};
-use crate::placement::outlooks::Outlooks;
-use crate::placement::{HoldingsSnapshot, KnownAlready, Placement};
+use crate::placement::readiness::ReadinessEstimates;
+use crate::placement::{HoldingsSnapshot, KnownHoldings, Placement};
 use crate::runners::RunnerTable;
 use crate::standby::{StandbyPlace, Standbys};
 
@@ -66,7 +66,7 @@
     /// Version of the holdings that it has with what it was told.
     holdings_version: u64,
     /// What it knew before it was told anything.
-    known_already: KnownAlready,
+    known_already: KnownHoldings,
     /// The last round did not hold all that it lacks.
     lacks_more: bool,
     /// When it was first heard.
@@ -314,7 +314,7 @@
         placement: &Placement,
         now: Timestamp,
     ) -> Option<Direction> {
-        let known = placement.known_by(member)?;
+        let known = placement.known_state_of(member)?;
         let progress = self.progress.entry(member.to_owned());
         let progress = progress.or_insert_with(|| Progress::new(known, header.term, now));
         let last_at = progress.told_at.max(progress.heartbeat_at);
@@ -354,7 +354,7 @@
         round: &mut Round<'_>,
     ) -> Vec<Direction> {
         let (placement, now) = (round.placement, round.now);
-        let Some(known) = placement.known_by(member) else {
+        let Some(known) = placement.known_state_of(member) else {
             return Vec::new();
         };
         let loads_interval = self.loads_interval(round);
@@ -368,7 +368,7 @@
             && placement.has_runners()
             && let Some((digests, _)) = self.summaries.remove(member)
         {
-            progress.known_already = placement.known_already(&digests, round.snapshot());
+            progress.known_already = placement.known_holdings(&digests, round.snapshot());
         }
         let mut directions = if reads_list {
             vec![Direction {
@@ -388,7 +388,7 @@
             progress.news_at = now;
         }
         if let Some(first) = directions.first_mut() {
-            let waiting = placement.waited_for_by(member).iter();
+            let waiting = placement.waiting_units_of(member).iter();
             first.outlooks = waiting
                 .filter_map(|waiting| round.outlook(&waiting.requirement))
                 .collect();
@@ -434,7 +434,7 @@
     snapshot: Option<HoldingsSnapshot>,
     /// How long a member that has no list of runners is left to read the store's.
     patience: Duration,
-    outlooks: Option<Outlooks<'a>>,
+    outlooks: Option<ReadinessEstimates<'a>>,
 }
 
 impl<'a> Round<'a> {
@@ -490,8 +490,10 @@
 
     fn outlook(&mut self, requirement: &Requirement) -> Option<UnitOutlook> {
         let (placement, now) = (self.placement, self.now);
-        let outlooks = self.outlooks.get_or_insert_with(|| placement.outlooks(now));
-        outlooks.of(requirement)
+        let outlooks = self
+            .outlooks
+            .get_or_insert_with(|| placement.readiness_estimates(now));
+        outlooks.estimate(requirement)
     }
 }
 
--- a/crates/routing/src/placement/call_pacing.rs
+++ b/crates/routing/src/placement/call_pacing.rs
@@ -1,4 +1,5 @@
-//! Calls to runners that take so little, or nothing for a while, that the coordinator's own calls count beside requests.
+//! Pacing of the coordinator's calls to runners with a low request rate limit or a pause, where
+//! these calls count against the runner's limit together with requests.
 
 use std::collections::HashMap;
 
@@ -10,17 +11,18 @@
 
 use super::Placement;
 
-/// When runners may be called that name a rate or rest.
+/// Earliest times for calls to rate-limited and paused runners.
 #[derive(Debug, Default)]
 pub(super) struct CallPacing {
-    /// Of those that name a rate.
+    /// For runners that announced a rate limit.
     next_call: HashMap<RunnerId, Timestamp>,
-    /// Of those that rest.
+    /// For runners that asked for a pause.
     rest_end: HashMap<RunnerId, Timestamp>,
 }
 
 impl CallPacing {
-    /// Sets which runners name a rate. A predecessor may just have called one that was not known to do so.
+    /// Sets the rate-limited runners. One that was not known to be limited may just have been
+    /// called by the previous coordinator, so its first call waits a full interval.
     pub fn set_limited<'a>(&mut self, runners: impl Iterator<Item = &'a RunnerId>, now: Timestamp) {
         let mut before = std::mem::take(&mut self.next_call);
         let known = runners.map(|runner| {
@@ -30,7 +32,7 @@
         self.next_call = known.collect();
     }
 
-    /// Sets which runners want nothing from this daemon, and until when.
+    /// Sets the runners that asked this daemon to send nothing, and until when.
     pub fn set_resting<'a>(&mut self, runners: impl Iterator<Item = (&'a RunnerId, Timestamp)>) {
         let runners = runners.map(|(runner, until)| (runner.clone(), until));
         self.rest_end = runners.collect();
@@ -43,7 +45,7 @@
         is_due(&self.next_call) && is_due(&self.rest_end)
     }
 
-    /// A runner is called now.
+    /// Records a call to a runner.
     pub fn note_call(&mut self, runner: &RunnerId, now: Timestamp) {
         if let Some(next_call) = self.next_call.get_mut(runner) {
             *next_call = now + CALL_INTERVAL;
@@ -52,14 +54,14 @@
 }
 
 impl Placement {
-    /// Takes in what runners have said: reports are read and orders given no more often than a rate bears, and not in a
-    /// rest; copies at runners that name a rate bear little.
-    pub fn hear_notices(&mut self, notices: &Notices, now: Timestamp) {
+    /// Applies the notices of runners: report reads and orders keep to a runner's rate limit and
+    /// pause, and copies on rate-limited runners count as having limited capacity.
+    pub fn apply_notices(&mut self, notices: &Notices, now: Timestamp) {
         let before: Vec<RunnerId> = self.call_pacing.next_call.keys().cloned().collect();
         self.call_pacing.set_limited(notices.limited(), now);
         for runner in before.iter().chain(self.call_pacing.next_call.keys()) {
-            if let Some(ledger) = self.ledgers.get_mut(runner) {
-                ledger.rate_limit = notices.rate_limit(runner);
+            if let Some(record) = self.records.get_mut(runner) {
+                record.rate_limit = notices.rate_limit(runner);
             }
         }
         self.call_pacing.set_resting(notices.resting(now));
--- a/crates/routing/src/placement/candidates.rs
+++ b/crates/routing/src/placement/candidates.rs
@@ -1,4 +1,4 @@
-//! Runners that could take a model, and what that costs at each of them.
+//! Candidate runners for loading a model, and the cost of loading it on each.
 
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -10,23 +10,25 @@
 use crate::homes::{Homes, Requirement};
 use crate::names::{Region, RunnerId, ServiceName, Unit};
 
-use super::ledger::{Ledger, WeightSource};
+use super::runner_record::{RunnerRecord, WeightSource};
 use super::victims::{Room, Victims};
 use super::{Placement, UNLOAD_TIME, engine_load_time};
 
-/// Price of a copy in a zone that has one, in ms.
-const ZONE_PRICE_MS: f64 = 500.0;
-/// Price of a load in another region than all requests for the model come from, in ms. Played with 0, 200 and 1,000 on a
-/// deployment of three regions, of which this was the best by a little: see `docs/design/regions.md`.
-const ABROAD_PRICE_MS: f64 = 1_000.0;
-/// Price of a load at a runner that is about to leave: any other one comes first.
-const LEAVE_PRICE_MS: f64 = 1e9;
+/// Cost of a copy in a zone that already has one, in ms.
+const SAME_ZONE_COST_MS: f64 = 500.0;
+/// Cost of a load in a region other than the one that all requests for the model come from, in ms.
+/// Of 0, 200 and 1,000 ms, this gave the best results for a deployment of three regions, by a small
+/// margin; see `docs/design/regions.md`.
+const CROSS_REGION_COST_MS: f64 = 1_000.0;
+/// Cost of a load on a runner that is about to leave, in ms; high enough that any other runner is
+/// preferred.
+const LEAVING_COST_MS: f64 = 1e9;
 
 fn as_ms(time: Duration) -> f64 {
     time.as_secs_f64() * 1_000.0
 }
 
-/// A runner that could take a model.
+/// A runner on which a model can be loaded.
 pub(super) struct Candidate {
     pub runner: RunnerId,
     pub source: WeightSource,
@@ -41,12 +43,13 @@
         by_cost.then_with(|| left.runner.cmp(&right.runner))
     }
 
-    /// The cost without the load: what another place must undercut that takes the same time.
-    fn undercut_ms(&self) -> f64 {
+    /// The cost excluding the load time: a site with the same load time is cheaper if its other
+    /// costs are below this.
+    fn cost_without_load_ms(&self) -> f64 {
         self.cost_ms - as_ms(self.load)
     }
 
-    /// Time until the model is ready there.
+    /// Time until the model is ready on this runner.
     pub fn ready_in(&self) -> Duration {
         if self.victims.models.is_empty() {
             self.load
@@ -56,15 +59,15 @@
     }
 }
 
-/// A size of models of a service.
+/// The weight size of models of one service, as a map key.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(super) struct Size {
+pub(super) struct ModelSize {
     service: ServiceName,
-    /// Size of the weights, as the bits of a number of MB.
+    /// Size of the weights in MB, as the bit pattern of the `f64`.
     weights_bits: u64,
 }
 
-impl Size {
+impl ModelSize {
     fn new(service: &ServiceName, weights_mb: f64) -> Self {
         Self {
             service: service.clone(),
@@ -73,58 +76,61 @@
     }
 }
 
-/// A runner with room for a model of a size, and what making the room costs there.
-pub(super) struct Place {
+/// A runner that can fit a model of a given size, and the cost of making room for it.
+pub(super) struct LoadSite {
     runner: RunnerId,
-    price_ms: f64,
+    cost_ms: f64,
 }
 
-fn leave_price_ms(ledger: &Ledger) -> f64 {
-    let leaves = ledger.runner.leaves_in.is_some();
-    if leaves { LEAVE_PRICE_MS } else { 0.0 }
+fn leaving_cost_ms(record: &RunnerRecord) -> f64 {
+    let leaves = record.runner.leaves_in.is_some();
+    if leaves { LEAVING_COST_MS } else { 0.0 }
 }
 
-/// Price of a load at a runner that still bears little when it ends, in ms: what requests wait there until it bears all.
-fn scarce_price_ms(ledger: &Ledger, load: Duration, now: Timestamp) -> f64 {
-    let left = ledger.bears_little_for(now).saturating_sub(load);
+/// Cost of a load on a runner that still has limited capacity when the load ends, in ms: the time
+/// that requests wait there until the limit ends.
+fn limited_capacity_cost_ms(record: &RunnerRecord, load: Duration, now: Timestamp) -> f64 {
+    let left = record.limited_for(now).saturating_sub(load);
     as_ms(left)
 }
 
-/// What one plan may still use.
-pub(super) struct Openings {
-    /// The rooms of the runners that can be given an order, once they were asked for: at thousands of runners they are
-    /// most of a plan's work, and a plan that only places adapters needs none. Other orders of the same plan may change a
-    /// price; what is to be dropped is therefore decided again when the order is given.
+/// What one plan may still use: runners, memory and loads from the weight store.
+pub(super) struct PlanResources {
+    /// Memory of the runners that can take an order, computed on first use: with thousands of
+    /// runners this is most of the work of a plan, and a plan that only places adapters does not
+    /// need it. Other orders of the same plan may change a cost, so the models to evict are chosen
+    /// again when the order is issued.
     rooms: Option<BTreeMap<RunnerId, Room>>,
-    /// Models whose adapters were waited for when the plan began.
+    /// Models whose adapters had waiting requests when the plan began.
     awaited: HashSet<Requirement>,
-    /// Loads from the weight store that may still be begun, by service.
+    /// Loads from the weight store that may still be started, by service.
     pub store_loads: BTreeMap<ServiceName, usize>,
-    /// The rooms in which models of a size fit, the cheapest first, as they were when this was first asked.
-    pub places: HashMap<Size, Vec<Place>>,
+    /// Runners that can fit a model of a given size, cheapest first, computed on the first query
+    /// for that size.
+    pub sites: HashMap<ModelSize, Vec<LoadSite>>,
 }
 
-impl Openings {
-    /// What a plan may use that begins with adapters of some models waited for.
+impl PlanResources {
+    /// The resources of a plan that begins with adapters of the given models awaited.
     pub fn new(awaited: HashSet<Requirement>, store_loads: BTreeMap<ServiceName, usize>) -> Self {
         Self {
             rooms: None,
             awaited,
             store_loads,
-            places: HashMap::new(),
+            sites: HashMap::new(),
         }
     }
 
-    /// A runner is given an order.
-    pub fn close(&mut self, runner: &RunnerId) {
+    /// Removes a runner that is given an order.
+    pub fn remove_runner(&mut self, runner: &RunnerId) {
         if let Some(rooms) = &mut self.rooms {
             rooms.remove(runner);
         }
     }
 
-    /// A model is loaded at a runner.
-    pub fn take(&mut self, candidate: &Candidate, service: &ServiceName) {
-        self.close(&candidate.runner);
+    /// Reserves a runner for the load of a model.
+    pub fn reserve(&mut self, candidate: &Candidate, service: &ServiceName) {
+        self.remove_runner(&candidate.runner);
         if candidate.source == WeightSource::Store
             && let Some(loads) = self.store_loads.get_mut(service)
         {
@@ -134,136 +140,138 @@
 }
 
 impl Placement {
-    /// The runner at which a model is best loaded for requests, if one within their homes has room and a source for it
-    /// now.
+    /// The best runner on which to load a model for requests, if one within their home regions has
+    /// both room and a weight source available now.
     pub(super) fn best_candidate(
         &self,
         requirement: &Requirement,
-        openings: &mut Openings,
+        resources: &mut PlanResources,
         now: Timestamp,
     ) -> Option<Candidate> {
         let unit = &requirement.unit;
         let engine = self.engines.get(&unit.service)?;
         engine.models.get(&unit.model)?;
-        if openings.rooms.is_none() {
-            openings.rooms = Some(self.rooms(&openings.awaited, now));
+        if resources.rooms.is_none() {
+            resources.rooms = Some(self.rooms(&resources.awaited, now));
         }
-        let rooms = openings.rooms.as_ref()?;
-        let store_loads = openings.store_loads.get(&unit.service).copied();
+        let rooms = resources.rooms.as_ref()?;
+        let store_loads = resources.store_loads.get(&unit.service).copied();
         let may_use_store = store_loads.unwrap_or(0) > 0
-            && self.has_ceiling(&unit.service, 1.0, now)
+            && self.allows_store_load(&unit.service, 1.0, now)
             && !self.is_sooner_from_copy(requirement, now);
-        let stored = self.copies.stored_at(unit);
-        let stored = stored.filter_map(|id| rooms.get_key_value(id));
-        let from_copy = stored
-            .filter_map(|(id, room)| Some((self.ledgers.get(id)?, room)))
-            .filter(|(ledger, _)| ledger.runner.service == unit.service && !ledger.has(unit))
-            .filter(|(ledger, _)| self.is_at_home(ledger, &requirement.homes))
-            .filter_map(|(ledger, room)| self.candidate(ledger, room, engine, unit, now))
+        let cached = self.copies.cached_at(unit);
+        let cached = cached.filter_map(|id| rooms.get_key_value(id));
+        let from_copy = cached
+            .filter_map(|(id, room)| Some((self.records.get(id)?, room)))
+            .filter(|(record, _)| record.runner.service == unit.service && !record.has(unit))
+            .filter(|(record, _)| self.is_within_homes(record, &requirement.homes))
+            .filter_map(|(record, room)| self.candidate(record, room, engine, unit, now))
             .min_by(Candidate::order);
         if !may_use_store {
             return from_copy;
         }
-        let from_store = self.cheapest_place(requirement, engine, openings, now);
+        let from_store = self.cheapest_store_load(requirement, engine, resources, now);
         from_copy
             .into_iter()
             .chain(from_store)
             .min_by(Candidate::order)
     }
 
-    /// The runner at which a load from the weight store costs least.
-    fn cheapest_place(
+    /// The runner with the lowest cost for a load from the weight store.
+    fn cheapest_store_load(
         &self,
         requirement: &Requirement,
         engine: &Engine,
-        openings: &mut Openings,
+        resources: &mut PlanResources,
         now: Timestamp,
     ) -> Option<Candidate> {
         let unit = &requirement.unit;
         let weights_mb = engine.models.get(&unit.model)?.weights_mb;
-        let size = Size::new(&unit.service, weights_mb);
-        if !openings.places.contains_key(&size) {
-            let places = self.places(&size, weights_mb, openings);
-            openings.places.insert(size.clone(), places);
+        let size = ModelSize::new(&unit.service, weights_mb);
+        if !resources.sites.contains_key(&size) {
+            let sites = self.sites(&size, weights_mb, resources);
+            resources.sites.insert(size.clone(), sites);
         }
         let mut best: Option<Candidate> = None;
-        for place in openings.places.get(&size)? {
+        for site in resources.sites.get(&size)? {
             if best
                 .as_ref()
-                .is_some_and(|best| best.undercut_ms() <= place.price_ms)
+                .is_some_and(|best| best.cost_without_load_ms() <= site.cost_ms)
             {
                 break;
             }
-            let room = openings.rooms.as_ref()?.get(&place.runner);
-            let (Some(room), Some(ledger)) = (room, self.ledgers.get(&place.runner)) else {
+            let room = resources.rooms.as_ref()?.get(&site.runner);
+            let (Some(room), Some(record)) = (room, self.records.get(&site.runner)) else {
                 continue;
             };
-            if !self.is_at_home(ledger, &requirement.homes) {
+            if !self.is_within_homes(record, &requirement.homes) {
                 continue;
             }
-            if ledger.has(unit) || ledger.weight_source(&unit.model) != WeightSource::Store {
+            if record.has(unit) || record.weight_source(&unit.model) != WeightSource::Store {
                 continue;
             }
-            let candidate = self.candidate(ledger, room, engine, unit, now);
+            let candidate = self.candidate(record, room, engine, unit, now);
             best = best.into_iter().chain(candidate).min_by(Candidate::order);
         }
         best
     }
 
-    /// The rooms in which a model of a size fits, the cheapest first.
-    fn places(&self, size: &Size, weights_mb: f64, openings: &Openings) -> Vec<Place> {
-        let rooms = openings.rooms.iter().flatten();
-        let rooms = rooms.filter_map(|(id, room)| Some((self.ledgers.get(id)?, room)));
-        let mut places: Vec<Place> = rooms
-            .filter(|(ledger, _)| ledger.runner.service == size.service)
-            .filter_map(|(ledger, room)| {
-                Some(Place {
-                    runner: ledger.runner.id.clone(),
-                    price_ms: room.price_of(weights_mb)? + leave_price_ms(ledger),
+    /// The runners that can fit a model of the given size, cheapest first.
+    fn sites(&self, size: &ModelSize, weights_mb: f64, resources: &PlanResources) -> Vec<LoadSite> {
+        let rooms = resources.rooms.iter().flatten();
+        let rooms = rooms.filter_map(|(id, room)| Some((self.records.get(id)?, room)));
+        let mut sites: Vec<LoadSite> = rooms
+            .filter(|(record, _)| record.runner.service == size.service)
+            .filter_map(|(record, room)| {
+                Some(LoadSite {
+                    runner: record.runner.id.clone(),
+                    cost_ms: room.cost_of(weights_mb)? + leaving_cost_ms(record),
                 })
             })
             .collect();
-        places.sort_by(|left, right| left.price_ms.total_cmp(&right.price_ms));
-        places
+        sites.sort_by(|left, right| left.cost_ms.total_cmp(&right.cost_ms));
+        sites
     }
 
-    /// Price of a load at a runner that is far from requests for the model whose regions have no copy.
-    fn distance_price_ms(&self, ledger: &Ledger, model: &Unit) -> f64 {
-        let region = self.regions.of(&ledger.runner.zone);
+    /// Cost of a load on a runner in another region than requests for the model whose regions have
+    /// no copy.
+    fn distance_cost_ms(&self, record: &RunnerRecord, model: &Unit) -> f64 {
+        let region = self.regions.of(&record.runner.zone);
         let has_copy = |region: &Region| self.copies.is_in_region(model, region);
         let origins = self.demands.origins();
-        origins.share_abroad(model, region, has_copy) * ABROAD_PRICE_MS
+        origins.share_from_other_regions(model, region, has_copy) * CROSS_REGION_COST_MS
     }
 
-    /// Whether requests with some homes may be served at a runner.
-    pub(super) fn is_at_home(&self, ledger: &Ledger, homes: &Homes) -> bool {
-        self.regions.allow(homes, &ledger.runner.zone)
+    /// Whether requests with the given home regions may be served by a runner.
+    pub(super) fn is_within_homes(&self, record: &RunnerRecord, homes: &Homes) -> bool {
+        self.regions.allow(homes, &record.runner.zone)
     }
 
-    /// Whether a runner with a copy of the weights, busy now, would have the model ready before one that
-    /// takes it from the weight store. A free one is a candidate itself, unless nothing there may be dropped.
+    /// Whether a busy runner that has a copy of the weights would have the model ready before a
+    /// runner that loads it from the weight store. A free one is a candidate itself, unless nothing
+    /// on it may be evicted.
     fn is_sooner_from_copy(&self, requirement: &Requirement, now: Timestamp) -> bool {
         let unit = &requirement.unit;
         let Some(from_store) = self.store_load_time(unit) else {
             return false;
         };
-        let ledgers = self
+        let records = self
             .copies
-            .stored_at(unit)
-            .filter_map(|id| self.ledgers.get(id));
-        ledgers
-            .filter(|ledger| self.is_at_home(ledger, &requirement.homes))
-            .filter(|ledger| ledger.takes_orders(now) && ledger.is_at_work(now))
-            .filter_map(|ledger| {
-                let load = engine_load_time(&self.engines, ledger, unit)?;
-                Some(ledger.free_at(now).since(now) + load)
+            .cached_at(unit)
+            .filter_map(|id| self.records.get(id));
+        records
+            .filter(|record| self.is_within_homes(record, &requirement.homes))
+            .filter(|record| record.takes_orders(now) && record.has_live_order(now))
+            .filter_map(|record| {
+                let load = engine_load_time(&self.engines, record, unit)?;
+                Some(record.free_at(now).since(now) + load)
             })
             .any(|from_copy| from_copy < from_store)
     }
 
     fn candidate(
         &self,
-        ledger: &Ledger,
+        record: &RunnerRecord,
         room: &Room,
         engine: &Engine,
         unit: &Unit,
@@ -271,19 +279,23 @@
     ) -> Option<Candidate> {
         let weights_mb = engine.models.get(&unit.model)?.weights_mb;
         let victims = room.victims(&unit.model, weights_mb)?;
-        let load = self.expected_load_time(ledger, unit)?;
-        let zone_has_copy = self.copies.is_in_zone(unit, &ledger.runner.zone);
-        let zone_price_ms = if zone_has_copy { ZONE_PRICE_MS } else { 0.0 };
-        let base_price_ms = victims.price_ms + leave_price_ms(ledger);
-        let cold_price_ms = scarce_price_ms(ledger, load, now);
+        let load = self.expected_load_time(record, unit)?;
+        let zone_has_copy = self.copies.is_in_zone(unit, &record.runner.zone);
+        let zone_cost_ms = if zone_has_copy {
+            SAME_ZONE_COST_MS
+        } else {
+            0.0
+        };
+        let base_cost_ms = victims.cost_ms + leaving_cost_ms(record);
+        let limited_cost_ms = limited_capacity_cost_ms(record, load, now);
         Some(Candidate {
-            runner: ledger.runner.id.clone(),
-            source: ledger.weight_source(&unit.model),
+            runner: record.runner.id.clone(),
+            source: record.weight_source(&unit.model),
             cost_ms: as_ms(load)
-                + base_price_ms
-                + zone_price_ms
-                + cold_price_ms
-                + self.distance_price_ms(ledger, unit),
+                + base_cost_ms
+                + zone_cost_ms
+                + limited_cost_ms
+                + self.distance_cost_ms(record, unit),
             load,
             victims,
         })
--- a/crates/routing/src/placement/mod.rs
+++ b/crates/routing/src/placement/mod.rs
@@ -1,21 +1,21 @@
-//! What is loaded where: the coordinator's side.
+//! Placement of models and adapters on runners: the coordinator's side.
 //!
-//! The coordinator keeps a [`ledger`] for each model runner, hears from all daemons what their
-//! requests wait for and use ([`demand`]), and decides on orders ([`planner`]). It records nothing in
-//! the store but its lease: a new coordinator reads the reports of the runners before it orders
-//! anything. An order without an answer stays counted in the ledger until the runner's order count
-//! or report settles it.
+//! The coordinator keeps a [`runner_record`] for each model runner, receives from all daemons what
+//! their requests wait for and use ([`demand`]), and decides on orders ([`planner`]). It stores
+//! nothing but its lease: a new coordinator reads the reports of the runners before it issues any
+//! order. An order without an answer stays pending in the record until the runner's order count or
+//! report settles it.
 
 mod call_pacing;
 mod candidates;
 mod copies;
 pub mod demand;
-pub mod ledger;
+mod limited_capacity;
 mod origins;
-pub mod outlooks;
 mod planner;
-mod pressure;
-mod scarce;
+pub mod readiness;
+pub mod runner_record;
+mod saturation;
 pub mod store_link;
 mod victims;
 
@@ -39,45 +39,46 @@
 
 use call_pacing::CallPacing;
 use copies::CopyIndex;
-use demand::Demands;
-use ledger::{Ledger, OrderState, Progress, WeightSource};
+use demand::DemandTracker;
+use runner_record::{OrderState, Progress, RunnerRecord, WeightSource};
 use store_link::{LoadSample, StoreLink};
 
-/// Runners in one message at most, so that it fits a datagram.
-const RUNNERS_A_MESSAGE: usize = 8;
-/// Messages with holdings to one member in one round at most: what a machine of 10 Mbit/s receives in 12 ms. The rest
-/// follows in the next rounds, so that no member's queue overflows.
-const MESSAGES_A_ROUND: usize = 16;
+/// Maximum number of runners in one message, so that it fits a datagram.
+const RUNNERS_PER_MESSAGE: usize = 8;
+/// Maximum number of messages with holdings to one member in one round: what a machine with 10
+/// Mbit/s receives in 12 ms. The rest follows in later rounds, so that no member's queue overflows.
+const MESSAGES_PER_ROUND: usize = 16;
 
-/// What a member knew already when it was first told something under this term.
+/// What a member already knew of the holdings when it was first sent a message in this term.
 #[derive(Clone, Debug, Default)]
-pub struct KnownAlready {
-    /// Its digests beside those of holdings that it may have.
+pub struct KnownHoldings {
+    /// Comparisons of its digests with those of the holdings that it may have.
     comparisons: Vec<Comparison>,
 }
 
-/// A member's digests beside those of the holdings at one version.
+/// A member's digests compared with those of the holdings at one version.
 #[derive(Clone, Debug)]
 struct Comparison {
     version: u64,
     same: SameBuckets,
 }
 
-impl KnownAlready {
-    /// Whether it need not be told what a runner holds: it has not changed since the member's digest was the same.
-    fn includes(&self, ledger: &Ledger) -> bool {
+impl KnownHoldings {
+    /// Whether a runner's holdings need not be sent: they have not changed since the member's
+    /// digest was equal.
+    fn includes(&self, record: &RunnerRecord) -> bool {
         let mut comparisons = self.comparisons.iter();
-        comparisons.any(|it| ledger.version <= it.version && it.same.contains(ledger.bucket))
+        comparisons.any(|it| record.version <= it.version && it.same.contains(record.bucket))
     }
 
-    /// The last version that its digests were compared with.
+    /// The latest version that its digests were compared with.
     fn version(&self) -> u64 {
         let versions = self.comparisons.iter().map(|it| it.version);
         versions.max().unwrap_or(0)
     }
 }
 
-/// All holdings at one version.
+/// Digests of all holdings at one version.
 #[derive(Clone, Debug)]
 pub struct HoldingsSnapshot {
     version: u64,
@@ -93,132 +94,132 @@
     }
 }
 
-/// Load or unload.
+/// Operation of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Operation {
-    /// Bring the unit in.
+    /// Load the unit.
     Load,
-    /// Drop it.
+    /// Unload the unit.
     Unload,
 }
 
-/// An order for a runner.
+/// An order to a runner.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Order {
-    /// What to do.
+    /// The operation.
     pub operation: Operation,
-    /// With what.
+    /// The unit to load or unload.
     pub unit: Unit,
 }
 
 /// A runner's answer to an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderAnswer {
-    /// It is being carried out.
+    /// The order is being executed.
     Accepted,
-    /// It already holds.
+    /// The requested state already holds.
     AlreadyDone,
-    /// Another order is under way, or the order count is another one.
+    /// Another order is being executed, or the order count differs.
     Conflict,
-    /// The runner has seen a higher fence.
+    /// The runner has seen a higher fencing token.
     FencedOff,
     /// Another runner has the address.
     OtherRunner,
-    /// The runner does not know such an order.
+    /// The runner rejects the order as invalid.
     Invalid,
-    /// No answer: the order may have been taken, or may be later.
+    /// No answer: the order may have been accepted, or may still be.
     Unknown,
 }
 
-/// A runner's report of itself.
+/// A runner's report of its own state.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RunnerReport {
-    /// When the life began that reports, if it told that.
+    /// Start time of the reporting runner process, if given.
     pub start: Option<RunnerStart>,
-    /// What it holds.
+    /// Models and adapters that are loaded.
     pub holdings: Holdings,
-    /// Adapters on their way.
+    /// Adapters that are being loaded.
     pub pending: BTreeSet<(ModelName, AdapterName)>,
-    /// Models of which a copy lies in host memory.
+    /// Models with a copy in host memory.
     pub in_memory: BTreeSet<ModelName>,
-    /// Models of which a copy lies on disk.
+    /// Models with a copy on disk.
     pub on_disk: BTreeSet<ModelName>,
-    /// An order is under way.
+    /// Whether an order is being executed.
     pub is_busy: bool,
-    /// Orders that it has taken.
+    /// Number of orders accepted so far.
     pub order_count: u64,
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub waiting: u32,
 }
 
 impl RunnerReport {
-    /// Whether it comes from this life of a runner.
+    /// Whether the report comes from this incarnation of the runner.
     pub fn is_of(&self, runner: &RunnerId) -> bool {
         self.start == runner.start()
     }
 }
 
-/// What the coordinator wants done.
+/// An action that the coordinator requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Send an order.
     Order {
         /// The runner.
         runner: RunnerId,
-        /// Where it listens.
+        /// The runner's address.
         address: SocketAddr,
         /// The order.
         order: Order,
         /// The order count that the runner must have.
         expected_count: u64,
-        /// Why, for the log.
+        /// The reason, for the log.
         reason: Reason,
     },
     /// Read a report.
     Report {
         /// The runner.
         runner: RunnerId,
-        /// Where it listens.
+        /// The runner's address.
         address: SocketAddr,
     },
 }
 
-/// Why an order is given.
+/// Why an order is issued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Reason {
     /// Requests wait for the unit.
     Demand,
-    /// The unit is used so much that it gets another copy.
+    /// The unit is used enough to get another copy.
     Replica,
-    /// The unit makes room for another one.
+    /// The unit is unloaded to make room for another one.
     Room,
 }
 
-/// An order that a report has shown to be settled.
+/// An order that was settled by a report.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SettledOrder {
     /// The order.
     pub order: Order,
-    /// It was carried out.
+    /// Whether it was carried out.
     pub is_done: bool,
-    /// What it says of the weight store, if it was a load from there.
+    /// What it shows of the weight store, if it was a load from there.
     pub sample: Option<LoadSample>,
 }
 
-/// Durations and shares of the placement.
+/// Timing parameters of the placement.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlacementSettings {
-    /// Time after which an order without an answer is sent again.
+    /// Time after which an unanswered order is sent again.
     pub order_retry: Duration,
-    /// Time between reports of a runner with an order under way.
+    /// Interval between reports of a runner with a pending order.
     pub report_interval: Duration,
-    /// How late a report may be.
+    /// Maximum delay of a report.
     pub report_lag: Duration,
-    /// Time without a word after which a member no longer counts.
+    /// Time without a message after which a member is no longer counted.
     pub member_timeout: Duration,
-    /// Window over which loads from the weight store are bounded.
+    /// Window over which the rate of loads from the weight store is limited.
     pub load_window: Duration,
 }
 
@@ -234,18 +235,18 @@
     }
 }
 
-/// The coordinator's state under one term.
+/// The coordinator's state during one term.
 #[derive(Debug)]
 pub struct Placement {
     settings: PlacementSettings,
     engines: BTreeMap<ServiceName, Engine>,
-    ledgers: BTreeMap<RunnerId, Ledger>,
+    records: BTreeMap<RunnerId, RunnerRecord>,
     copies: CopyIndex,
     regions: Regions,
-    /// Requests a second that a cold runner bears, by service.
+    /// Requests per second that a cold runner can serve, by service.
     cold_rates: BTreeMap<ServiceName, f64>,
     runner_counts: BTreeMap<ServiceName, usize>,
-    demands: Demands,
+    demands: DemandTracker,
     configuration_version: Option<u64>,
     store_loads: BTreeMap<ServiceName, VecDeque<Timestamp>>,
     call_pacing: CallPacing,
@@ -253,42 +254,45 @@
     started_at: Timestamp,
     orders_from: Timestamp,
     version: u64,
-    /// What was believed of the runners at the beginning: what members know that have read the list, too.
-    first_snapshot: Option<HoldingsSnapshot>,
+    /// Holdings assumed at the start of the term, which members that have read the runner list know
+    /// as well.
+    initial_snapshot: Option<HoldingsSnapshot>,
 }
 
 impl Placement {
-    /// A coordinator that has just got the lease and gives no order before `orders_from`.
+    /// A coordinator that has just acquired the lease and issues no order before `orders_from`.
     pub fn new(settings: PlacementSettings, now: Timestamp, orders_from: Timestamp) -> Self {
         Self {
             settings,
             engines: BTreeMap::new(),
-            ledgers: BTreeMap::new(),
+            records: BTreeMap::new(),
             copies: CopyIndex::default(),
             regions: Regions::default(),
             cold_rates: BTreeMap::new(),
             runner_counts: BTreeMap::new(),
             configuration_version: None,
-            demands: Demands::new(settings.member_timeout),
+            demands: DemandTracker::new(settings.member_timeout),
             store_loads: BTreeMap::new(),
             call_pacing: CallPacing::default(),
             store_links: BTreeMap::new(),
             started_at: now,
             orders_from,
             version: 1,
-            first_snapshot: None,
+            initial_snapshot: None,
         }
     }
 
-    /// The same, with the versions of its holdings above one that members were told before: a term may go on that had run
-    /// out, and its members would take lower numbers for what they know already.
+    /// Sets the version of the holdings above one that members were sent before. A term may
+    /// continue after its lease ran out, and members would take lower versions for ones that they
+    /// already know.
     #[must_use]
-    pub fn numbered_after(mut self, version: u64) -> Self {
+    pub fn with_versions_above(mut self, version: u64) -> Self {
         self.version = self.version.max(version + 1);
         self
     }
 
-    /// The same where zones lie in these regions, so that units come within the homes of the requests that wait.
+    /// Sets the regions of the zones, so that units are loaded within the homes of the waiting
+    /// requests.
     #[must_use]
     pub fn in_regions(mut self, regions: Regions) -> Self {
         self.copies = CopyIndex::new(regions.clone());
@@ -297,7 +301,7 @@
         self
     }
 
-    /// Takes in the engines of a configuration, unless it is the one that is known.
+    /// Applies the engines of a configuration, unless its version is already applied.
     pub fn configure(&mut self, configuration: &Configuration) {
         if self.configuration_version == Some(configuration.version) {
             return;
@@ -307,10 +311,10 @@
             .services()
             .filter_map(|service| Some((service.name.clone(), service.engine.clone()?)))
             .collect();
-        self.configure_cold(configuration);
+        self.configure_cold_rates(configuration);
     }
 
-    /// Takes in the list of runners.
+    /// Applies the list of runners.
     pub fn set_runners<'a>(&mut self, runners: impl Iterator<Item = &'a Runner>) {
         let mut seen = BTreeSet::new();
         self.runner_counts.clear();
@@ -321,19 +325,19 @@
             seen.insert(runner.id.clone());
             let count = self.runner_counts.entry(runner.service.clone());
             *count.or_default() += 1;
-            let ledger = self.ledgers.get(&runner.id);
-            if ledger.is_none_or(|ledger| ledger.runner != *runner) {
+            let record = self.records.get(&runner.id);
+            if record.is_none_or(|record| record.runner != *runner) {
                 self.set_runner(runner);
             }
         }
         let copies = &mut self.copies;
         let store_links = &mut self.store_links;
-        self.ledgers.retain(|id, ledger| {
+        self.records.retain(|id, record| {
             let stays = seen.contains(id);
             if !stays {
                 copies.remove(id);
-                if let Some(link) = store_links.get_mut(&ledger.runner.service) {
-                    link.abandoned(id);
+                if let Some(link) = store_links.get_mut(&record.runner.service) {
+                    link.load_discarded(id);
                 }
             }
             stays
@@ -341,45 +345,51 @@
     }
 
     fn set_runner(&mut self, runner: &Runner) {
-        self.ledgers
+        self.records
             .entry(runner.id.clone())
-            .or_insert_with(|| Ledger::new(runner.clone()));
-        self.change(&runner.id, |ledger| ledger.set_runner(runner.clone()));
+            .or_insert_with(|| RunnerRecord::new(runner.clone()));
+        self.change(&runner.id, |record| record.set_runner(runner.clone()));
     }
 
-    /// Takes in what this daemon knew of the runners before it coordinated, for those of which nothing else is known.
-    /// Members that know the same need not be told, and the others are told before all reports are read.
-    pub fn believe(&mut self, table: &RunnerTable) {
-        for ledger in self.ledgers.values_mut() {
-            let believed = table.believed_holdings(&ledger.runner.id);
-            let Some(holdings) = believed.filter(|_| ledger.version == 0) else {
+    /// Sets the holdings that this daemon knew before it became coordinator, for runners of which
+    /// nothing else is known. Members that know the same need not be sent them, and the others get
+    /// them before all reports are read.
+    pub fn assume_holdings(&mut self, table: &RunnerTable) {
+        for record in self.records.values_mut() {
+            let assumed = table.believed_holdings(&record.runner.id);
+            let Some(holdings) = assumed.filter(|_| record.version == 0) else {
                 continue;
             };
             self.version += 1;
-            ledger.believe(holdings.clone(), self.version);
-            self.copies.update(ledger);
+            record.assume_holdings(holdings.clone(), self.version);
+            self.copies.update(record);
         }
-        self.first_snapshot = Some(self.holdings_snapshot());
+        self.initial_snapshot = Some(self.holdings_snapshot());
     }
 
-    /// What somebody with such digests knows already, beside the holdings as they are now and as they were at first.
-    pub fn known_already(&self, digests: &HoldingsDigests, now: &HoldingsSnapshot) -> KnownAlready {
-        let snapshots = self.first_snapshot.iter().chain([now]);
-        KnownAlready {
+    /// What a member with the given digests already knows, compared with the current holdings and
+    /// with those at the start of the term.
+    pub fn known_holdings(
+        &self,
+        digests: &HoldingsDigests,
+        now: &HoldingsSnapshot,
+    ) -> KnownHoldings {
+        let snapshots = self.initial_snapshot.iter().chain([now]);
+        KnownHoldings {
             comparisons: snapshots.map(|it| it.compare(digests)).collect(),
         }
     }
 
-    /// Whether there are runners to tell of.
+    /// Whether there are any runners.
     pub fn has_runners(&self) -> bool {
-        !self.ledgers.is_empty()
+        !self.records.is_empty()
     }
 
-    /// All holdings as they are now.
+    /// Digests of the current holdings.
     pub fn holdings_snapshot(&self) -> HoldingsSnapshot {
         let mut digests = HoldingsDigests::finest();
-        for ledger in self.ledgers.values() {
-            let announced = ledger.announced();
+        for record in self.records.values() {
+            let announced = record.announced();
             let holdings = announced.holdings.iter();
             digests.add(
                 &announced.runner,
@@ -392,53 +402,54 @@
         }
     }
 
-    /// Changes what is believed of a runner, and notes what members must hear of it.
+    /// Changes a runner's record and assigns a new version if the announced holdings differ.
     fn change<Outcome>(
         &mut self,
         runner: &RunnerId,
-        change: impl FnOnce(&mut Ledger) -> Outcome,
+        change: impl FnOnce(&mut RunnerRecord) -> Outcome,
     ) -> Option<Outcome> {
-        let ledger = self.ledgers.get_mut(runner)?;
-        let before = ledger.announced();
-        let outcome = change(ledger);
-        let is_first = ledger.is_confirmed() && ledger.version == 0;
-        if is_first || ledger.announced() != before {
+        let record = self.records.get_mut(runner)?;
+        let before = record.announced();
+        let outcome = change(record);
+        let is_first = record.is_confirmed() && record.version == 0;
+        if is_first || record.announced() != before {
             self.version += 1;
-            ledger.version = self.version;
+            record.version = self.version;
         }
-        self.copies.update(ledger);
+        self.copies.update(record);
         Some(outcome)
     }
 
-    /// Takes in what a member needs and uses.
-    pub fn usage(&mut self, usage: Usage, now: Timestamp) {
+    /// Applies a usage message of a member.
+    pub fn update_usage(&mut self, usage: Usage, now: Timestamp) {
         self.demands.update(usage, now);
     }
 
-    /// Takes in what a member's requests wait for.
-    pub fn waiting(&mut self, notice: WaitNotice, now: Timestamp) {
+    /// Applies what a member's requests wait for.
+    pub fn update_waiting(&mut self, notice: WaitNotice, now: Timestamp) {
         self.demands.update_waiting(notice, now);
     }
 
-    /// What somebody who knows a version of the holdings, and what it knew before, is told of them now, in messages
-    /// that fit a datagram each. What is left follows the version of the last one.
+    /// Messages, each of which fits a datagram, that bring the holdings of a member up to date from
+    /// a known version and what it knew before. What does not fit into one round is sent after the
+    /// version of the last message.
     pub fn directions(
         &self,
         known_version: u64,
-        known_already: &KnownAlready,
+        known_holdings: &KnownHoldings,
         header: &Direction,
     ) -> Vec<Direction> {
-        let mut changed = self.changed_since(known_version, known_already);
-        let is_whole = changed.len() <= RUNNERS_A_MESSAGE * MESSAGES_A_ROUND;
-        changed.truncate(RUNNERS_A_MESSAGE * MESSAGES_A_ROUND);
+        let mut changed = self.changed_since(known_version, known_holdings);
+        let is_whole = changed.len() <= RUNNERS_PER_MESSAGE * MESSAGES_PER_ROUND;
+        changed.truncate(RUNNERS_PER_MESSAGE * MESSAGES_PER_ROUND);
         let mut directions = Vec::new();
         let mut after = known_version;
-        for part in changed.chunks(RUNNERS_A_MESSAGE) {
-            let last = part.last().map_or(after, |ledger| ledger.version);
+        for part in changed.chunks(RUNNERS_PER_MESSAGE) {
+            let last = part.last().map_or(after, |record| record.version);
             directions.push(Direction {
                 holdings_after: after,
                 holdings_version: last,
-                holdings: part.iter().map(|ledger| ledger.announced()).collect(),
+                holdings: part.iter().map(|record| record.announced()).collect(),
                 ..header.clone()
             });
             after = last;
@@ -451,61 +462,63 @@
             });
         }
         if let Some(last) = directions.last_mut().filter(|_| is_whole) {
-            last.holdings_version = last.holdings_version.max(known_already.version());
+            last.holdings_version = last.holdings_version.max(known_holdings.version());
         }
         directions
     }
 
-    /// Whether somebody who knows a version, and what it knew before, lacks something.
-    pub fn has_changed_since(&self, version: u64, known_already: &KnownAlready) -> bool {
-        let mut ledgers = self.ledgers.values();
-        let lacks = |ledger: &Ledger| ledger.version > version && !known_already.includes(ledger);
-        version < self.version && ledgers.any(lacks)
+    /// Whether a member that knows a version, and what it knew before, lacks any holdings.
+    pub fn has_changed_since(&self, version: u64, known_holdings: &KnownHoldings) -> bool {
+        let mut records = self.records.values();
+        let lacks =
+            |record: &RunnerRecord| record.version > version && !known_holdings.includes(record);
+        version < self.version && records.any(lacks)
     }
 
     /// The runners whose holdings have changed since a version, the earliest change first.
-    fn changed_since(&self, version: u64, known_already: &KnownAlready) -> Vec<&Ledger> {
+    fn changed_since(&self, version: u64, known_holdings: &KnownHoldings) -> Vec<&RunnerRecord> {
         if version >= self.version {
             return Vec::new();
         }
-        let mut changed: Vec<&Ledger> = self
-            .ledgers
+        let mut changed: Vec<&RunnerRecord> = self
+            .records
             .values()
-            .filter(|ledger| ledger.version > version && !known_already.includes(ledger))
+            .filter(|record| record.version > version && !known_holdings.includes(record))
             .collect();
-        changed.sort_by_key(|ledger| ledger.version);
+        changed.sort_by_key(|record| record.version);
         changed
     }
 
-    /// What a member's requests wait for.
-    pub fn waited_for_by(&self, member: &str) -> &[WaitingUnit] {
+    /// The units that a member's requests wait for.
+    pub fn waiting_units_of(&self, member: &str) -> &[WaitingUnit] {
         let member = self.demands.member(member);
         member.map_or(&[], |member| &member.waiting)
     }
 
-    /// Requests in progress at the runners that are filling up, as the members had told by the last plan.
+    /// Requests in progress on the runners that are filling up, as reported by the members before
+    /// the last plan.
     pub fn loads(&self) -> Vec<RunnerLoad> {
-        let load = |ledger: &Ledger| {
-            let requests = self.demands.running_at(&ledger.runner.id);
-            is_worth_telling(requests, ledger.runner.slots).then(|| RunnerLoad {
-                runner: ledger.runner.id.clone(),
+        let load = |record: &RunnerRecord| {
+            let requests = self.demands.running_at(&record.runner.id);
+            is_worth_telling(requests, record.runner.slots).then(|| RunnerLoad {
+                runner: record.runner.id.clone(),
                 requests,
             })
         };
-        self.ledgers.values().filter_map(load).collect()
+        self.records.values().filter_map(load).collect()
     }
 
-    /// Bounds on the loads from the weight store in flight that were found so far.
+    /// The limits on concurrent loads from the weight store found so far.
     pub fn store_limits(&self) -> Vec<StoreLimit> {
         let limit = |(service, link): (&ServiceName, &StoreLink)| StoreLimit {
             service: service.clone(),
             loads: u32::try_from(link.limit()).unwrap_or(u32::MAX),
-            is_measured: link.was_full(),
+            is_measured: link.was_saturated(),
         };
         self.store_links.iter().map(limit).collect()
     }
 
-    /// Takes over the bounds that the coordinator before this one has found.
+    /// Takes over the limits that the previous coordinator found.
     pub fn inherit_store_limits(&mut self, limits: &[StoreLimit], now: Timestamp) {
         for limit in limits {
             let mut link = StoreLink::new(now);
@@ -515,7 +528,7 @@
         }
     }
 
-    /// Names and addresses of the members that live.
+    /// Names and addresses of the members that have not timed out.
     pub fn members(&self, now: Timestamp) -> Vec<(String, SocketAddr)> {
         let members = self.demands.live_members(now);
         members
@@ -523,42 +536,45 @@
             .collect()
     }
 
-    /// What a member knows.
-    pub fn known_by(&self, member: &str) -> Option<KnownState> {
+    /// What a member knows of the coordinator's state.
+    pub fn known_state_of(&self, member: &str) -> Option<KnownState> {
         self.demands.member(member).map(|member| member.known)
     }
 
-    /// The strongest machine of a member.
+    /// The strength of the strongest member machine.
     pub fn strongest_member(&self) -> MachineStrength {
         self.demands.strongest()
     }
 
-    /// The members that may stand by for the coordinator, which is at an address.
+    /// The members that may act as standby for the coordinator at the given address.
     pub fn standby_candidates(&self, own: SocketAddr, now: Timestamp) -> Vec<Candidate> {
         self.demands.standby_candidates(own, now)
     }
 
     /// When the next order that needs no report counts as done.
-    pub fn next_expected(&self) -> Option<Timestamp> {
-        self.ledgers.values().filter_map(Ledger::expected_at).min()
+    pub fn next_expected_completion(&self) -> Option<Timestamp> {
+        self.records
+            .values()
+            .filter_map(RunnerRecord::expected_at)
+            .min()
     }
 
-    /// Version of the holdings; rises with each change.
+    /// Version of the holdings; increases with each change.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// What a runner holds, for those who ask why.
+    /// Confirmed holdings of the runners, for diagnostic queries.
     pub fn announced(&self) -> impl Iterator<Item = RunnerHoldings> + '_ {
-        self.ledgers
+        self.records
             .values()
-            .filter(|ledger| ledger.is_confirmed())
-            .map(Ledger::announced)
+            .filter(|record| record.is_confirmed())
+            .map(RunnerRecord::announced)
     }
 
-    /// Takes in a report that was asked for at a time. Returns the order that it settles. One of another life of the
-    /// runner says nothing of this one, as if none had come.
-    pub fn reported(
+    /// Applies a report requested at `asked_at` and returns the order that it settles. A report
+    /// from another incarnation of the runner is treated as missing.
+    pub fn apply_report(
         &mut self,
         runner: &RunnerId,
         report: Option<RunnerReport>,
@@ -567,13 +583,13 @@
     ) -> Option<SettledOrder> {
         let settings = self.settings;
         let report = report.filter(|report| report.is_of(runner));
-        let settlement = self.change(runner, |ledger| {
-            ledger.report_asked_at = None;
+        let settlement = self.change(runner, |record| {
+            record.report_asked_at = None;
             let Some(report) = report else {
-                ledger.note_unanswered(settings.order_retry, now);
+                record.note_unanswered(settings.order_retry, now);
                 return None;
             };
-            ledger.reported(report, asked_at, now, &settings)
+            record.apply_report(report, asked_at, now, &settings)
         });
         let settlement = settlement.flatten()?;
         let sample = self.note_settled(runner, &settlement.state, settlement.is_done, now);
@@ -584,7 +600,7 @@
         })
     }
 
-    /// Tells the link to the weight store that a load over it has ended.
+    /// Informs the store link that a load over it has ended.
     fn note_settled(
         &mut self,
         runner: &RunnerId,
@@ -597,88 +613,88 @@
         }
         let link = self.store_links.get_mut(&state.order.unit.service)?;
         if is_done {
-            return link.ended(runner, now);
+            return link.load_finished(runner, now);
         }
-        link.abandoned(runner);
+        link.load_discarded(runner);
         None
     }
 
-    /// Takes in the answer to the order under way at a runner.
-    pub fn answered(&mut self, runner: &RunnerId, answer: OrderAnswer, now: Timestamp) {
-        let Some(ledger) = self.ledgers.get(runner) else {
+    /// Applies the answer to the pending order of a runner.
+    pub fn apply_answer(&mut self, runner: &RunnerId, answer: OrderAnswer, now: Timestamp) {
+        let Some(record) = self.records.get(runner) else {
             return;
         };
-        let load_time = ledger
+        let load_time = record
             .order()
-            .and_then(|order| self.expected_load_time(ledger, &order.unit));
-        let order = ledger.order();
-        let is_held_up = order.is_some_and(|it| self.demands.running(runner, &it.unit) > 0);
+            .and_then(|order| self.expected_load_time(record, &order.unit));
+        let order = record.order();
+        let is_blocked = order.is_some_and(|it| self.demands.running(runner, &it.unit) > 0);
         let settings = self.settings;
-        self.change(runner, |ledger| {
-            ledger.answered(answer, load_time, is_held_up, now, &settings);
+        self.change(runner, |record| {
+            record.apply_answer(answer, load_time, is_blocked, now, &settings);
         });
         self.note_answered(runner, now);
     }
 
-    /// Tells the link to the weight store that a load over it has begun, or that it may have begun at any time.
+    /// Informs the store link that a load over it has started, or that its start time is unknown.
     fn note_answered(&mut self, runner: &RunnerId, now: Timestamp) {
-        let Some(ledger) = self.ledgers.get(runner) else {
+        let Some(record) = self.records.get(runner) else {
             return;
         };
-        let Some(link) = self.store_links.get_mut(&ledger.runner.service) else {
+        let Some(link) = self.store_links.get_mut(&record.runner.service) else {
             return;
         };
-        let state = ledger.order_state();
+        let state = record.order_state();
         let state = state.filter(|state| state.source == Some(WeightSource::Store));
         let is_running = state.is_some_and(|state| state.progress == Progress::Running);
-        let promised = state
+        let nominal = state
             .filter(|_| is_running)
-            .and_then(|state| engine_load_time(&self.engines, ledger, &state.order.unit));
-        match promised {
-            Some(promised) => link.begun(runner, promised, now),
-            None => link.abandoned(runner),
+            .and_then(|state| engine_load_time(&self.engines, record, &state.order.unit));
+        match nominal {
+            Some(nominal) => link.load_started(runner, nominal, now),
+            None => link.load_discarded(runner),
         }
     }
 
-    /// Time that a load of a unit would take at a runner, with what is known of the weight store.
-    fn expected_load_time(&self, ledger: &Ledger, unit: &Unit) -> Option<Duration> {
-        if unit.adapter.is_none() && ledger.weight_source(&unit.model) == WeightSource::Store {
+    /// Expected duration of a load on a runner, given what is known of the weight store.
+    fn expected_load_time(&self, record: &RunnerRecord, unit: &Unit) -> Option<Duration> {
+        if unit.adapter.is_none() && record.weight_source(&unit.model) == WeightSource::Store {
             return self.store_load_time(unit);
         }
-        engine_load_time(&self.engines, ledger, unit)
+        engine_load_time(&self.engines, record, unit)
     }
 
-    /// Time that a load of a model from the weight store would take now.
+    /// Expected duration of a load from the weight store that starts now.
     fn store_load_time(&self, unit: &Unit) -> Option<Duration> {
         let specification = self.engines.get(&unit.service)?.models.get(&unit.model)?;
-        let promised = specification.store_load;
+        let nominal = specification.store_load;
         let link = self.store_links.get(&unit.service);
-        Some(link.map_or(promised, |link| link.expected(promised)))
+        Some(link.map_or(nominal, |link| link.expected_load_time(nominal)))
     }
 }
 
-/// Time that an unload is expected to take.
+/// Expected duration of an unload.
 const UNLOAD_TIME: Duration = Duration::from_millis(300);
 
-/// Time that an adapter is expected to take.
+/// Expected duration of an adapter load.
 const ADAPTER_TIME: Duration = Duration::from_millis(60);
 
-/// Time that a load of a unit takes at a runner.
+/// Configured duration of a load on a runner.
 fn engine_load_time(
     engines: &BTreeMap<ServiceName, Engine>,
-    ledger: &Ledger,
+    record: &RunnerRecord,
     unit: &Unit,
 ) -> Option<Duration> {
     let specification = engines.get(&unit.service)?.models.get(&unit.model)?;
-    Some(load_time(specification, ledger, unit))
+    Some(load_time(specification, record, unit))
 }
 
-/// Time that a load of a unit takes at a runner, by what the operators say of its model.
-fn load_time(specification: &ModelSpecification, ledger: &Ledger, unit: &Unit) -> Duration {
+/// Configured duration of a load on a runner, by the specification of its model.
+fn load_time(specification: &ModelSpecification, record: &RunnerRecord, unit: &Unit) -> Duration {
     if unit.adapter.is_some() {
         return ADAPTER_TIME;
     }
-    match ledger.weight_source(&unit.model) {
+    match record.weight_source(&unit.model) {
         WeightSource::Memory => specification.memory_load,
         WeightSource::Disk => specification.disk_load,
         WeightSource::Store => specification.store_load,
--- a/crates/routing/src/placement/origins.rs
+++ b/crates/routing/src/placement/origins.rs
@@ -1,4 +1,4 @@
-//! From which regions the requests for models come, so that copies go where their callers are.
+//! Regions from which the requests for models come, so that copies are placed near their callers.
 
 use std::collections::HashMap;
 
@@ -8,14 +8,14 @@
 
 use super::demand::Member;
 
-/// Requests for one model by the regions of the daemons that they came to.
+/// Requests for one model by the region of the daemon that received them.
 type ByRegion = HashMap<Region, u32>;
 
-/// Requests for all models by region. Nothing is counted where there is one region only.
+/// Requests for all models by region. Nothing is counted if there is only one region.
 #[derive(Debug, Default)]
 pub(super) struct Origins {
     regions: Regions,
-    /// Requests of the last seconds and those that waited, as of the last look at the rates.
+    /// Recently used and waiting requests, as of the last computation of the rates.
     recent: HashMap<Unit, ByRegion>,
     /// Requests that wait now.
     waiting: HashMap<Unit, ByRegion>,
@@ -29,14 +29,14 @@
         }
     }
 
-    /// Counts what the requests of the members have used lately or wait for.
+    /// Counts the members' recently used and waiting requests.
     pub fn count_recent<'a>(&mut self, members: impl Iterator<Item = &'a Member>) {
-        self.recent = self.count(members, Member::recent);
+        self.recent = self.count(members, Member::recent_requests);
     }
 
-    /// Counts what the requests of the members wait for.
+    /// Counts the members' waiting requests.
     pub fn count_waiting<'a>(&mut self, members: impl Iterator<Item = &'a Member>) {
-        self.waiting = self.count(members, Member::waits_for);
+        self.waiting = self.count(members, Member::waiting_requests);
     }
 
     fn count<'a, Requests>(
@@ -63,8 +63,9 @@
         counts
     }
 
-    /// Share of the requests for a model that come from other regions than one, those apart that have a copy.
-    pub fn share_abroad(
+    /// Share of the requests for a model that come from other regions than the given one, excluding
+    /// regions with a copy.
+    pub fn share_from_other_regions(
         &self,
         model: &Unit,
         region: Option<&Region>,
@@ -75,9 +76,9 @@
             return 0.0;
         };
         let all: u32 = counts.values().sum();
-        let abroad = counts.iter();
-        let abroad = abroad.filter(|(other, _)| Some(*other) != region && !has_copy(other));
-        let abroad: u32 = abroad.map(|(_, count)| count).sum();
-        f64::from(abroad) / f64::from(all.max(1))
+        let elsewhere = counts.iter();
+        let elsewhere = elsewhere.filter(|(other, _)| Some(*other) != region && !has_copy(other));
+        let elsewhere: u32 = elsewhere.map(|(_, count)| count).sum();
+        f64::from(elsewhere) / f64::from(all.max(1))
     }
 }
--- a/crates/routing/src/placement/ledger/mod.rs
+++ b/crates/routing/src/placement/runner_record/mod.rs
@@ -1,4 +1,4 @@
-//! What the coordinator believes of one runner: what it holds, the order under way, its order count.
+//! The coordinator's record of one runner: its holdings, the pending order and its order count.
 
 mod order_state;
 mod orders;
@@ -16,69 +16,70 @@
 
 use super::{Operation, Order};
 
-pub use order_state::{Intent, OrderState, Progress, Settlement, WeightSource};
+pub use order_state::{DeferredLoad, OrderState, Progress, Settlement, WeightSource};
 
-/// Time for which a model that has just become ready is not dropped again.
-const FRESH: Duration = Duration::from_millis(1_500);
+/// Time for which a model that has just become ready is not evicted.
+const MIN_RESIDENCE_TIME: Duration = Duration::from_millis(1_500);
 
-/// Time for which a runner that names a rate is taken to go on doing so: it does not say for how long, and a copy
-/// elsewhere is ready sooner.
-const RATE_LASTS: Duration = Duration::from_secs(10);
+/// Time for which an announced rate limit is assumed to last. The runner does not say for how long,
+/// and a copy on another runner is ready sooner.
+const RATE_LIMIT_VALIDITY: Duration = Duration::from_secs(10);
 
-/// Time without a report after which a runner with an order under way counts as silent: several reports are
-/// read in this time.
-const SILENCE: Duration = Duration::from_secs(2);
-/// How often the pause before the next report of a runner doubles that has never answered: up to 16 times as long.
-const MOST_DOUBLINGS: u32 = 4;
-/// Time for which an order may be late at a runner that reports: an unload waits until its requests end, which
-/// takes some seconds.
-const LONGEST_UNLOAD: Duration = Duration::from_secs(8);
+/// Time without a report after which a runner with a pending order counts as silent; several
+/// reports are read in this time.
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(2);
+/// How often the report interval of a runner that has never answered is doubled at most: up to 16
+/// times the interval.
+const MAX_BACKOFF_DOUBLINGS: u32 = 4;
+/// How late an order may be on a runner that still reports: an unload waits until its requests end,
+/// which takes some seconds.
+const MAX_UNLOAD_TIME: Duration = Duration::from_secs(8);
 
-/// One runner.
+/// The coordinator's record of one runner.
 #[derive(Debug)]
-pub struct Ledger {
-    /// The runner, as the store's list tells it.
+pub struct RunnerRecord {
+    /// The runner as listed in the store.
     pub runner: Runner,
-    /// Version of the holdings as announced; 0 while nothing is known of them.
+    /// Version of the announced holdings; 0 while nothing is known of them.
     pub version: u64,
-    /// Where it stands in digests of holdings.
+    /// Its bucket in the digests of holdings.
     pub bucket: Bucket,
-    /// The load that follows once there is room.
-    pub intent: Option<Intent>,
-    /// When the runner is warm; `None` while that is to be worked out from what its entry says.
+    /// The load that follows once there is room for it.
+    pub deferred_load: Option<DeferredLoad>,
+    /// Time at which the cold period ends; `None` until it is computed from the runner's entry.
     warm_at: Option<Timestamp>,
-    /// The rate that the runner names.
+    /// The request rate limit that the runner announced.
     pub rate_limit: Option<RequestRate>,
-    /// When the next report may be read.
+    /// Earliest time of the next report.
     pub next_report: Timestamp,
-    /// When the report was asked for that is under way.
+    /// When the outstanding report was requested.
     pub report_asked_at: Option<Timestamp>,
     holdings: Holdings,
-    /// Models of which the last report shows a copy in host memory.
+    /// Models with a copy in host memory, by the last report.
     in_memory: BTreeSet<ModelName>,
-    /// Models of which the last report shows a copy on disk.
+    /// Models with a copy on disk, by the last report.
     on_disk: BTreeSet<ModelName>,
     pending_adapters: BTreeSet<(ModelName, AdapterName)>,
     order: Option<OrderState>,
     order_count: Option<u64>,
-    /// The runner works on an order that this coordinator does not know.
+    /// The runner is executing an order that this coordinator does not know.
     has_unknown_order: bool,
     is_confirmed: bool,
-    /// Reports in a row that were asked for and did not come.
+    /// Consecutive report requests without an answer.
     unanswered_reports: u32,
     rejected_until: Timestamp,
     reported_at: Timestamp,
     ready_since: Vec<(ModelName, Timestamp)>,
 }
 
-impl Ledger {
-    /// A runner of which no report was read yet.
+impl RunnerRecord {
+    /// A runner whose report has not been read yet.
     pub fn new(runner: Runner) -> Self {
         Self {
             bucket: Bucket::of(&runner.id),
             runner,
             version: 0,
-            intent: None,
+            deferred_load: None,
             warm_at: None,
             rate_limit: None,
             next_report: Timestamp::ZERO,
@@ -98,11 +99,12 @@
         }
     }
 
-    /// Takes in what the store's list tells of the runner. Its entry tells the time for which it stays cold as of when it
-    /// was written; an entry that only stands anew in the list tells nothing new of that. Before the first report a change
-    /// of what the list tells to be there stands over what was believed: the report may be seconds away.
+    /// Applies the runner's entry in the store's list. The entry gives the remaining cold time as
+    /// of when it was written, so an entry that is merely listed again does not restart it. Before
+    /// the first report, a change of the listed holdings overrides the assumed ones: the report may
+    /// be seconds away.
     pub fn set_runner(&mut self, runner: Runner) {
-        if self.is_only_believed() && runner.holdings != self.runner.holdings {
+        if self.has_only_assumed_holdings() && runner.holdings != self.runner.holdings {
             self.holdings.clone_from(&runner.holdings);
         }
         let known = (self.runner.revision, self.runner.cold_for);
@@ -112,44 +114,50 @@
         self.runner = runner;
     }
 
-    /// Reckons the time for which the runner stays cold from now on, if its entry has told another one.
-    pub fn note_cold(&mut self, now: Timestamp) {
+    /// Sets the end of the cold period, counted from now, if a new entry has given another
+    /// duration.
+    pub fn update_cold_end(&mut self, now: Timestamp) {
         self.warm_at.get_or_insert(now + self.runner.cold_for);
     }
 
-    /// Time for which the runner bears a few requests a second only: it is cold, or names a rate.
-    pub fn bears_little_for(&self, now: Timestamp) -> Duration {
+    /// Time for which the runner serves only a few requests per second, because it is cold or has
+    /// announced a rate limit.
+    pub fn limited_for(&self, now: Timestamp) -> Duration {
         let cold_for = self.warm_at.map_or(Duration::ZERO, |at| at.since(now));
-        let limited_for = self.rate_limit.map_or(Duration::ZERO, |_| RATE_LASTS);
+        let limited_for = self
+            .rate_limit
+            .map_or(Duration::ZERO, |_| RATE_LIMIT_VALIDITY);
         cold_for.max(limited_for)
     }
 
-    /// Takes in, before the first report, what this daemon knew of the runner when it began to coordinate. Nothing is
-    /// ordered on the strength of it, but nothing is loaded elsewhere either that should be there.
-    pub fn believe(&mut self, holdings: Holdings, version: u64) {
+    /// Before the first report, sets the holdings that this daemon knew before it became
+    /// coordinator. No orders are based on them, but they prevent loading elsewhere what should be
+    /// on this runner.
+    pub fn assume_holdings(&mut self, holdings: Holdings, version: u64) {
         self.holdings = holdings;
         self.version = version;
     }
 
-    /// A report was asked for and did not come. What is believed of a runner without any report is not relied on then,
-    /// and it is asked less and less often: a whole zone may be gone whose runners still stand in the list.
+    /// Records that a requested report did not arrive. Assumed holdings of an unconfirmed runner
+    /// are then no longer relied on, and its reports are requested at growing intervals: a whole
+    /// zone may be gone whose runners are still listed.
     pub fn note_unanswered(&mut self, retry: Duration, now: Timestamp) {
         let doublings = if self.is_confirmed {
             0
         } else {
-            self.unanswered_reports.min(MOST_DOUBLINGS)
+            self.unanswered_reports.min(MAX_BACKOFF_DOUBLINGS)
         };
         self.unanswered_reports = self.unanswered_reports.saturating_add(1);
         self.next_report = now + retry * 2_u32.pow(doublings);
     }
 
-    /// Reports in a row that were asked for and did not come.
+    /// Consecutive report requests without an answer.
     pub fn unanswered_reports(&self) -> u32 {
         self.unanswered_reports
     }
 
-    /// Whether no report was read, but something is known of the runner.
-    pub fn is_only_believed(&self) -> bool {
+    /// Whether holdings are known but not confirmed by a report.
+    pub fn has_only_assumed_holdings(&self) -> bool {
         !self.is_confirmed && self.version > 0
     }
 
@@ -158,12 +166,12 @@
         self.is_confirmed
     }
 
-    /// The order that is not settled, if there is one.
+    /// The pending order and its state, if there is one.
     pub fn order_state(&self) -> Option<&OrderState> {
         self.order.as_ref()
     }
 
-    /// The order that is not settled, if there is one.
+    /// The pending order, if there is one.
     pub fn order(&self) -> Option<&Order> {
         self.order.as_ref().map(|state| &state.order)
     }
@@ -173,23 +181,25 @@
         self.order_count
     }
 
-    /// What is ready there, without what is being dropped.
+    /// The holdings that are ready, except for what is being unloaded.
     pub fn announced(&self) -> RunnerHoldings {
-        let dropping = self
+        let unloading = self
             .order()
             .filter(|order| order.operation == Operation::Unload);
         let mut holdings = Vec::new();
         for (model, adapters) in &self.holdings {
-            let drops = |unit: &Unit| unit.model == *model;
-            if dropping.is_some_and(|order| drops(&order.unit) && order.unit.adapter.is_none()) {
+            let concerns_model = |unit: &Unit| unit.model == *model;
+            if unloading
+                .is_some_and(|order| concerns_model(&order.unit) && order.unit.adapter.is_none())
+            {
                 continue;
             }
-            let dropped = dropping
-                .filter(|order| drops(&order.unit))
+            let unloaded = unloading
+                .filter(|order| concerns_model(&order.unit))
                 .and_then(|order| order.unit.adapter.as_ref());
             let adapters = adapters
                 .iter()
-                .filter(|adapter| Some(*adapter) != dropped)
+                .filter(|adapter| Some(*adapter) != unloaded)
                 .cloned()
                 .collect();
             holdings.push((model.clone(), adapters));
@@ -200,12 +210,12 @@
         }
     }
 
-    /// Models that lie in the runner's memory for weights.
+    /// Models in the runner's weight memory.
     pub fn models(&self) -> impl Iterator<Item = &ModelName> {
         self.holdings.keys()
     }
 
-    /// Whether a unit is there, or is being dropped.
+    /// Whether the runner holds a unit, even if it is being unloaded.
     pub fn has(&self, unit: &Unit) -> bool {
         let Some(adapters) = self.holdings.get(&unit.model) else {
             return false;
@@ -215,18 +225,18 @@
             .is_none_or(|adapter| adapters.contains(adapter))
     }
 
-    /// Whether a unit is ready and stays.
+    /// Whether a unit is ready and not being unloaded.
     pub fn offers(&self, unit: &Unit) -> bool {
-        let is_dropping = self.order().is_some_and(|order| {
+        let is_unloading = self.order().is_some_and(|order| {
             order.operation == Operation::Unload
                 && order.unit.model == unit.model
                 && (order.unit.adapter.is_none() || order.unit.adapter == unit.adapter)
         });
-        let is_doubtful = !self.is_confirmed && self.unanswered_reports > 0;
-        self.has(unit) && !is_dropping && !self.runner.draining && !is_doubtful
+        let is_unreliable = !self.is_confirmed && self.unanswered_reports > 0;
+        self.has(unit) && !is_unloading && !self.runner.draining && !is_unreliable
     }
 
-    /// Whether a unit is being loaded, or will be.
+    /// Whether a unit is being loaded or will be.
     pub fn will_offer(&self, unit: &Unit) -> bool {
         let loads = self
             .order()
@@ -235,15 +245,15 @@
             self.pending_adapters
                 .contains(&(unit.model.clone(), adapter.clone()))
         });
-        let intends = self
-            .intent
+        let is_deferred = self
+            .deferred_load
             .as_ref()
-            .is_some_and(|intent| intent.requirement.unit == *unit);
-        !self.runner.draining && (loads || pending || intends)
+            .is_some_and(|deferred_load| deferred_load.requirement.unit == *unit);
+        !self.runner.draining && (loads || pending || is_deferred)
     }
 
-    /// Where the runner would take the weights of a model from, by its last report or the store's list,
-    /// whichever knows of the nearer copy.
+    /// Where the runner would load the weights of a model from, by its last report or the store's
+    /// list, whichever shows the faster source.
     pub fn weight_source(&self, model: &ModelName) -> WeightSource {
         let runner = &self.runner;
         if self.in_memory.contains(model) || runner.in_memory.contains(model) {
@@ -255,21 +265,21 @@
         }
     }
 
-    /// Whether the runner is loading from the weight store, or may be, because it works on an order that
-    /// this coordinator does not know.
+    /// Whether the runner is loading from the weight store, or may be, because it is executing an
+    /// order that this coordinator does not know.
     pub fn may_load_from_store(&self) -> bool {
         let source = self.order.as_ref().and_then(|state| state.source);
         self.has_unknown_order || source == Some(WeightSource::Store)
     }
 
-    /// Whether a load from the weight store follows once there is room.
-    pub fn intends_store_load(&self) -> bool {
-        let intent = self.intent.as_ref();
-        intent
+    /// Whether a load from the weight store is deferred until there is room.
+    pub fn defers_store_load(&self) -> bool {
+        let deferred_load = self.deferred_load.as_ref();
+        deferred_load
             .is_some_and(|it| self.weight_source(&it.requirement.unit.model) == WeightSource::Store)
     }
 
-    /// Units that are there or on their way, some of them perhaps twice.
+    /// Units that the runner holds or will hold; may contain duplicates.
     pub fn known_units(&self) -> Vec<Unit> {
         let unit = |model: &ModelName, adapter: Option<&AdapterName>| Unit {
             service: self.runner.service.clone(),
@@ -282,19 +292,19 @@
             .iter()
             .map(|(model, adapter)| unit(model, Some(adapter)));
         let ordered = self.order().map(|order| order.unit.clone());
-        let intended = self
-            .intent
+        let deferred = self
+            .deferred_load
             .as_ref()
-            .map(|intent| intent.requirement.unit.clone());
+            .map(|deferred_load| deferred_load.requirement.unit.clone());
         models
             .chain(adapters)
             .chain(ordered)
-            .chain(intended)
+            .chain(deferred)
             .collect()
     }
 
-    /// Models of which the runner has the weights in host memory or on disk.
-    pub fn stored_models(&self) -> impl Iterator<Item = Unit> {
+    /// Models whose weights the runner has in host memory or on disk.
+    pub fn cached_models(&self) -> impl Iterator<Item = Unit> {
         let runner = &self.runner;
         let listed = runner.in_memory.iter().chain(&runner.on_disk);
         let reported = self.in_memory.iter().chain(&self.on_disk);
@@ -305,43 +315,46 @@
         })
     }
 
-    /// Whether the runner has the weights of a model in host memory or on disk, and stays.
-    pub fn stores(&self, unit: &Unit) -> bool {
+    /// Whether the runner has the weights of a model in host memory or on disk and is not draining.
+    pub fn caches(&self, unit: &Unit) -> bool {
         unit.adapter.is_none()
             && !self.runner.draining
             && self.weight_source(&unit.model) != WeightSource::Store
     }
 
-    /// Whether it may be given orders at all.
+    /// Whether the runner may be given orders at all.
     pub fn takes_orders(&self, now: Timestamp) -> bool {
         self.is_confirmed && !self.runner.draining && now >= self.rejected_until
     }
 
-    /// Whether the next order can go out. While the order count is not known, neither is what the
-    /// runner holds.
+    /// Whether the next order can be sent. While the order count is unknown, so are the holdings.
     pub fn is_free(&self, now: Timestamp) -> bool {
         let is_known = self.order_count.is_some() && !self.has_unknown_order;
         self.takes_orders(now) && self.order.is_none() && is_known
     }
 
-    /// Whether an order is under way that should still end: the runner reports, or has only just ceased to, and
-    /// the order is not long overdue.
-    pub fn is_at_work(&self, now: Timestamp) -> bool {
-        let is_heard = now.since(self.reported_at) < SILENCE;
-        let allowed = if is_heard { LONGEST_UNLOAD } else { SILENCE };
+    /// Whether a pending order can still be expected to end: the runner reports, or stopped only
+    /// recently, and the order is not long overdue.
+    pub fn has_live_order(&self, now: Timestamp) -> bool {
+        let is_reporting = now.since(self.reported_at) < SILENCE_TIMEOUT;
+        let allowed = if is_reporting {
+            MAX_UNLOAD_TIME
+        } else {
+            SILENCE_TIMEOUT
+        };
         let order = self.order.as_ref();
         order.is_some_and(|order| now < order.ready_at + allowed)
     }
 
-    /// When the order under way should be done.
+    /// When the pending order should be done.
     pub fn free_at(&self, now: Timestamp) -> Timestamp {
         self.order
             .as_ref()
             .map_or(now, |order| order.ready_at.max(now))
     }
 
-    /// Memory for weights that is free once the order under way is done, in MB. What is being
-    /// dropped still counts.
+    /// Weight memory that is free once the pending order is done, in MB. A model that is being
+    /// unloaded still counts as used.
     pub fn free_mb(&self, engine: &Engine) -> f64 {
         let mut used = 0.0;
         let mut pending_models = BTreeSet::new();
@@ -367,7 +380,7 @@
         engine.weights_mb - used
     }
 
-    /// Adapters that are there or on their way.
+    /// Adapters that are loaded or being loaded.
     pub fn adapters(&self) -> BTreeSet<(ModelName, AdapterName)> {
         let mut adapters = self.pending_adapters.clone();
         for (model, names) in &self.holdings {
@@ -382,15 +395,15 @@
         adapters
     }
 
-    /// Adapters on their way.
+    /// Number of adapters being loaded.
     pub fn pending_adapter_count(&self) -> usize {
         self.pending_adapters.len()
     }
 
-    /// Whether a model has become ready a moment ago.
-    pub fn is_fresh(&self, model: &ModelName, now: Timestamp) -> bool {
+    /// Whether a model became ready recently.
+    pub fn became_ready_recently(&self, model: &ModelName, now: Timestamp) -> bool {
         self.ready_since
             .iter()
-            .any(|(name, at)| name == model && now.since(*at) < FRESH)
+            .any(|(name, at)| name == model && now.since(*at) < MIN_RESIDENCE_TIME)
     }
 }
--- a/crates/routing/src/placement/ledger/order_state.rs
+++ b/crates/routing/src/placement/runner_record/order_state.rs
@@ -1,29 +1,30 @@
-//! An order to one runner, and how far it has come.
+//! An order to one runner and its progress.
 
 use flaxward_types::time::Timestamp;
 
 use crate::homes::Requirement;
 use crate::placement::{Order, Reason};
 
-/// How far an order has come.
+/// Progress of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// The runner's order count must be read before it is sent.
+    /// Not sent yet; the runner's order count must be read first.
     Ready,
-    /// It was sent at this time and has no answer yet.
+    /// Sent at this time, without an answer so far.
     Sent(Timestamp),
-    /// It was sent and got no answer; it is sent again at this time.
+    /// Sent without an answer; it is sent again at this time.
     Unanswered {
-        /// When.
+        /// Time of the next attempt.
         retry_at: Timestamp,
     },
-    /// The runner is carrying it out.
+    /// Being executed by the runner.
     Running,
-    /// It was taken and should be done by this time, since no request holds it up. Nothing has shown it yet.
+    /// Accepted, and assumed to be done by this time because no request blocks it; not confirmed
+    /// yet.
     Expected(Timestamp),
 }
 
-/// Where a runner takes the weights of a model from.
+/// Where a runner loads the weights of a model from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WeightSource {
     /// Its own host memory.
@@ -34,35 +35,35 @@
     Store,
 }
 
-/// An order that is not settled.
+/// A pending order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OrderState {
     /// The order.
     pub order: Order,
-    /// Where the weights come from, if it loads a model.
+    /// Source of the weights, if it loads a model.
     pub source: Option<WeightSource>,
-    /// Why it was given.
+    /// Why it was issued.
     pub reason: Reason,
-    /// How far it has come.
+    /// Its progress.
     pub progress: Progress,
     /// When it should be done.
     pub ready_at: Timestamp,
 }
 
-/// A load that waits until there is room.
+/// A load that waits until there is room for it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Intent {
-    /// What is to be loaded, and for which homes.
+pub struct DeferredLoad {
+    /// What is loaded, and for which homes.
     pub requirement: Requirement,
-    /// Why.
+    /// Why it is loaded.
     pub reason: Reason,
 }
 
-/// What has become of an order that a report has settled.
+/// The outcome of an order that a report has settled.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settlement {
-    /// The order as it was.
+    /// The state of the order before it was settled.
     pub state: OrderState,
-    /// It was carried out.
+    /// Whether it was carried out.
     pub is_done: bool,
 }
--- a/crates/routing/src/placement/ledger/orders.rs
+++ b/crates/routing/src/placement/runner_record/orders.rs
@@ -1,4 +1,5 @@
-//! The life of the order under way at one runner: from the decision to what an answer or a report makes of it.
+//! State transitions of the pending order of one runner, from the decision to the answer or report
+//! that settles it.
 
 use std::time::Duration;
 
@@ -8,16 +9,17 @@
 use crate::placement::{Operation, Order, OrderAnswer, PlacementSettings, Reason, RunnerReport};
 use crate::runners::Holdings;
 
-use super::{FRESH, Ledger, OrderState, Progress, Settlement};
+use super::{MIN_RESIDENCE_TIME, OrderState, Progress, RunnerRecord, Settlement};
 
-/// Time for which a runner gets no order after one that it called invalid or meant for another.
+/// Time for which a runner gets no order after it rejected one as invalid or as meant for another
+/// runner.
 const REJECTION_PAUSE: Duration = Duration::from_secs(2);
-/// Time after which an unload that no request holds up counts as done.
-const QUICK_UNLOAD: Duration = Duration::from_millis(60);
+/// Time after which an unload that no request blocks counts as done.
+const QUICK_UNLOAD_TIME: Duration = Duration::from_millis(60);
 
-impl Ledger {
-    /// Believes that the order under way is done, without waiting for a report: an unload that nothing holds
-    /// up. The runner refuses the next order if it is not, and then a report is read.
+impl RunnerRecord {
+    /// Settles an unblocked unload without waiting for a report. If it is not done after all, the
+    /// runner refuses the next order, and then a report is read.
     pub fn settle_expected(&mut self, now: Timestamp) {
         let is_due =
             |state: &mut OrderState| matches!(state.progress, Progress::Expected(at) if now >= at);
@@ -26,7 +28,7 @@
         }
     }
 
-    /// When an order that should be done is believed to be, if there is one.
+    /// When the pending order is assumed to be done, if that needs no report.
     pub fn expected_at(&self) -> Option<Timestamp> {
         match self.order.as_ref()?.progress {
             Progress::Expected(at) => Some(at),
@@ -34,14 +36,14 @@
         }
     }
 
-    /// Begins an order.
+    /// Sets the pending order.
     pub fn begin(&mut self, order: Order, reason: Reason, ready_at: Timestamp) {
         if self
-            .intent
+            .deferred_load
             .as_ref()
-            .is_some_and(|intent| intent.requirement.unit == order.unit)
+            .is_some_and(|deferred_load| deferred_load.requirement.unit == order.unit)
         {
-            self.intent = None;
+            self.deferred_load = None;
         }
         let loads_model = order.operation == Operation::Load && order.unit.adapter.is_none();
         self.order = Some(OrderState {
@@ -53,7 +55,7 @@
         });
     }
 
-    /// The order to send now with the order count that it expects, if one is due.
+    /// The order to send now, with the order count that it expects, if one is due.
     pub fn due_order(&mut self, now: Timestamp) -> Option<(Order, u64, Reason)> {
         let count = self.order_count?;
         let state = self.order.as_mut()?;
@@ -77,19 +79,19 @@
         if !self.is_confirmed || self.order_count.is_none() || self.has_unknown_order {
             return true;
         }
-        let polls = |state: &OrderState| match state.progress {
+        let needs_report = |state: &OrderState| match state.progress {
             Progress::Running | Progress::Unanswered { .. } => true,
             Progress::Ready | Progress::Sent(_) | Progress::Expected(_) => false,
         };
-        self.order.as_ref().is_some_and(polls) || !self.pending_adapters.is_empty()
+        self.order.as_ref().is_some_and(needs_report) || !self.pending_adapters.is_empty()
     }
 
-    /// Takes in the answer to the order under way.
-    pub fn answered(
+    /// Applies the answer to the pending order.
+    pub fn apply_answer(
         &mut self,
         answer: OrderAnswer,
         load_time: Option<Duration>,
-        is_held_up: bool,
+        is_blocked: bool,
         now: Timestamp,
         settings: &PlacementSettings,
     ) {
@@ -97,9 +99,9 @@
             return;
         };
         match answer {
-            OrderAnswer::Accepted if self.is_quick(&state.order, is_held_up) => {
+            OrderAnswer::Accepted if self.is_quick_unload(&state.order, is_blocked) => {
                 self.order_count = self.order_count.map(|count| count + 1);
-                state.progress = Progress::Expected(now + QUICK_UNLOAD);
+                state.progress = Progress::Expected(now + QUICK_UNLOAD_TIME);
                 self.order = Some(state);
             }
             OrderAnswer::Accepted => self.accepted(state, load_time, now, settings),
@@ -109,7 +111,7 @@
                 self.next_report = now + settings.report_lag;
             }
             OrderAnswer::Conflict => {
-                // Another order was taken, perhaps an earlier one that came late.
+                // Another order was accepted, perhaps an earlier one that arrived late.
                 self.order_count = None;
                 self.next_report = now + settings.report_lag;
             }
@@ -128,13 +130,13 @@
         }
     }
 
-    /// Whether an order that was taken should be done in a moment: an unload for a load that follows, of a
-    /// model that no request uses.
-    fn is_quick(&self, order: &Order, is_held_up: bool) -> bool {
+    /// Whether an accepted order should be done within a moment: an unload that makes room for a
+    /// deferred load, of a model that no request uses.
+    fn is_quick_unload(&self, order: &Order, is_blocked: bool) -> bool {
         order.operation == Operation::Unload
             && order.unit.adapter.is_none()
-            && self.intent.is_some()
-            && !is_held_up
+            && self.deferred_load.is_some()
+            && !is_blocked
     }
 
     fn accepted(
@@ -166,8 +168,8 @@
         self.order = Some(state);
     }
 
-    /// Takes in a report. Returns the order that it settles.
-    pub fn reported(
+    /// Applies a report and returns the order that it settles.
+    pub fn apply_report(
         &mut self,
         report: RunnerReport,
         asked_at: Timestamp,
@@ -204,7 +206,7 @@
                     is_done: true,
                 });
             } else if is_running && !report.is_busy && !done && asked_at > state.ready_at {
-                // The runner no longer works on it and has not done it.
+                // The runner no longer executes the order and has not completed it.
                 self.order_count = Some(report.order_count);
                 settlement = Some(Settlement {
                     state,
@@ -246,8 +248,9 @@
 
     fn note_ready(&mut self, order: &Order, now: Timestamp) {
         if order.operation == Operation::Load && order.unit.adapter.is_none() {
-            self.ready_since
-                .retain(|(model, at)| *model != order.unit.model && now.since(*at) < FRESH);
+            self.ready_since.retain(|(model, at)| {
+                *model != order.unit.model && now.since(*at) < MIN_RESIDENCE_TIME
+            });
             self.ready_since.push((order.unit.model.clone(), now));
         }
     }
--- a/crates/routing/src/placement/victims.rs
+++ b/crates/routing/src/placement/victims.rs
@@ -1,4 +1,5 @@
-//! What may be dropped from a runner to make room, and what that costs.
+//! Choice of models and adapters to evict from a runner to make room, and the cost of evicting
+//! them.
 
 use std::time::Duration;
 
@@ -9,140 +10,144 @@
 use crate::names::{AdapterName, ModelName, Unit};
 
 use super::Placement;
-use super::ledger::Ledger;
 use super::planner::BUSY_RATE;
-
-/// Time over which the use of a dropped copy is expected to go on, for its price.
-pub(super) const HORIZON_SECONDS: f64 = 10.0;
-/// Price of waiting for requests in progress to end before a model is dropped, in ms.
-const RUNNING_PRICE_MS: f64 = 4_000.0;
-/// Price of dropping anything, in ms.
-const DROP_PRICE_MS: f64 = 300.0;
-/// Time without use after which the last copy of a model costs little.
-const IDLE: Duration = Duration::from_secs(12);
-/// Price of the last copy of a model that was used lately, in ms.
-const LAST_COPY_PRICE_MS: f64 = 1_500.0;
-
-/// A model that may be dropped from a runner.
+use super::runner_record::RunnerRecord;
+
+/// Time over which the use of an evicted copy is expected to continue, for its cost, in seconds.
+pub(super) const COST_HORIZON_SECONDS: f64 = 10.0;
+/// Cost of waiting for requests in progress to end before a model is evicted, in ms.
+const RUNNING_COST_MS: f64 = 4_000.0;
+/// Base cost of any eviction, in ms.
+const EVICTION_COST_MS: f64 = 300.0;
+/// Time without use after which the last copy of a model is cheap to evict.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(12);
+/// Additional cost of the last copy of a recently used model, in ms.
+const LAST_COPY_COST_MS: f64 = 1_500.0;
+
+/// A model that may be evicted from a runner.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) struct Droppable {
+pub(super) struct Evictable {
     model: ModelName,
     weights_mb: f64,
-    price_ms: f64,
+    cost_ms: f64,
 }
 
-/// A runner's room for weights.
+/// A runner's weight memory: free space and evictable models.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct Room {
     free_mb: f64,
-    /// The cheapest first.
-    droppable: Vec<Droppable>,
+    /// Cheapest first.
+    evictable: Vec<Evictable>,
 }
 
-/// Models to drop from a runner, the cheapest first, and the price of all, in ms.
+/// Models to evict from a runner, cheapest first, and their total cost in ms.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct Victims {
     pub models: Vec<ModelName>,
-    pub price_ms: f64,
+    pub cost_ms: f64,
 }
 
 impl Room {
-    /// The cheapest models to drop so that a model of this size fits, if dropping can make it fit.
+    /// The cheapest models to evict so that a model of the given size fits, if eviction can make it
+    /// fit.
     pub fn victims(&self, model: &ModelName, weights_mb: f64) -> Option<Victims> {
-        let dropped = self.cheapest(weights_mb, Some(model))?;
+        let evicted = self.cheapest(weights_mb, Some(model))?;
         Some(Victims {
-            models: dropped.iter().map(|it| it.model.clone()).collect(),
-            price_ms: price_ms(&dropped),
+            models: evicted.iter().map(|it| it.model.clone()).collect(),
+            cost_ms: cost_ms(&evicted),
         })
     }
 
-    /// What making room for a model of a size costs, in ms, if dropping can make it fit.
-    pub fn price_of(&self, weights_mb: f64) -> Option<f64> {
+    /// Cost of making room for a model of the given size, in ms, if eviction can make it fit.
+    pub fn cost_of(&self, weights_mb: f64) -> Option<f64> {
         self.cheapest(weights_mb, None)
-            .map(|dropped| price_ms(&dropped))
+            .map(|evicted| cost_ms(&evicted))
     }
 
-    /// The cheapest models to drop for a size, one model excepted; `None` if dropping them all is not enough.
-    fn cheapest(&self, weights_mb: f64, except: Option<&ModelName>) -> Option<Vec<&Droppable>> {
+    /// The cheapest models to evict for a size, without the excepted model; `None` if evicting all
+    /// of them is not enough.
+    fn cheapest(&self, weights_mb: f64, except: Option<&ModelName>) -> Option<Vec<&Evictable>> {
         let mut free_mb = self.free_mb;
-        let mut dropped = Vec::new();
-        let others = self.droppable.iter().filter(|it| Some(&it.model) != except);
-        for droppable in others {
+        let mut evicted = Vec::new();
+        let others = self.evictable.iter().filter(|it| Some(&it.model) != except);
+        for evictable in others {
             if free_mb >= weights_mb {
                 break;
             }
-            free_mb += droppable.weights_mb;
-            dropped.push(droppable);
+            free_mb += evictable.weights_mb;
+            evicted.push(evictable);
         }
-        (free_mb >= weights_mb).then_some(dropped)
+        (free_mb >= weights_mb).then_some(evicted)
     }
 }
 
-fn price_ms(dropped: &[&Droppable]) -> f64 {
-    dropped.iter().map(|it| it.price_ms).sum()
+fn cost_ms(evicted: &[&Evictable]) -> f64 {
+    evicted.iter().map(|it| it.cost_ms).sum()
 }
 
 impl Placement {
-    /// The room of a runner, with prices as of the last refresh of the demand.
-    pub(super) fn room(&self, ledger: &Ledger, engine: &Engine, now: Timestamp) -> Room {
-        let mut droppable: Vec<Droppable> = ledger
+    /// The weight memory of a runner, with costs as of the last refresh of the demand.
+    pub(super) fn room(&self, record: &RunnerRecord, engine: &Engine, now: Timestamp) -> Room {
+        let mut evictable: Vec<Evictable> = record
             .models()
             .filter_map(|model| {
-                Some(Droppable {
+                Some(Evictable {
                     model: model.clone(),
                     weights_mb: engine.models.get(model)?.weights_mb,
-                    price_ms: self.price_of_dropping(ledger, engine, model, now)?,
+                    cost_ms: self.eviction_cost(record, engine, model, now)?,
                 })
             })
             .collect();
-        droppable.sort_by(|left, right| left.price_ms.total_cmp(&right.price_ms));
+        evictable.sort_by(|left, right| left.cost_ms.total_cmp(&right.cost_ms));
         Room {
-            free_mb: ledger.free_mb(engine),
-            droppable,
+            free_mb: record.free_mb(engine),
+            evictable,
         }
     }
 
-    /// What dropping one copy costs, in ms of waiting; `None` if it must stay.
-    fn price_of_dropping(
+    /// Cost of evicting one copy, in ms of waiting; `None` if it must stay.
+    fn eviction_cost(
         &self,
-        ledger: &Ledger,
+        record: &RunnerRecord,
         engine: &Engine,
         model: &ModelName,
         now: Timestamp,
     ) -> Option<f64> {
         let unit = Unit {
-            service: ledger.runner.service.clone(),
+            service: record.runner.service.clone(),
             model: model.clone(),
             adapter: None,
         };
-        if ledger.is_fresh(model, now) || self.demands.is_waited_for(&unit) {
+        if record.became_ready_recently(model, now) || self.demands.is_waited_for(&unit) {
             return None;
         }
         let rate = self.demands.model_rate(&unit);
-        let copies = self.copies_to_spare(ledger, &unit)?;
+        let copies = self.interchangeable_copies(record, &unit)?;
         let specification = engine.models.get(model)?;
         let reload_ms = specification.disk_load.as_secs_f64() * 1_000.0;
         let others = f64::from(u32::try_from(copies).unwrap_or(u32::MAX));
-        let mut price = DROP_PRICE_MS + rate * HORIZON_SECONDS * reload_ms / (others * others);
+        let mut cost =
+            EVICTION_COST_MS + rate * COST_HORIZON_SECONDS * reload_ms / (others * others);
         let is_used = self
             .demands
             .model_unused_for(&unit, now)
-            .is_some_and(|unused| unused < IDLE);
+            .is_some_and(|unused| unused < IDLE_TIMEOUT);
         if copies <= 1 && is_used {
-            price += LAST_COPY_PRICE_MS;
+            cost += LAST_COPY_COST_MS;
         }
-        if self.demands.running(&ledger.runner.id, &unit) > 0 {
-            price += RUNNING_PRICE_MS;
+        if self.demands.running(&record.runner.id, &unit) > 0 {
+            cost += RUNNING_COST_MS;
         }
-        Some(price)
+        Some(cost)
     }
 
-    /// Copies among which one at a runner is, within those homes of the model's requests where copies are fewest; `None`
-    /// if the copy must stay because the model is busy there and has no more copies than it should.
-    fn copies_to_spare(&self, ledger: &Ledger, model: &Unit) -> Option<usize> {
+    /// Number of copies that can replace each other including the one on a runner, within those
+    /// homes of the model's requests that have the fewest; `None` if the copy must stay because the
+    /// model is busy there and has no copy to spare.
+    fn interchangeable_copies(&self, record: &RunnerRecord, model: &Unit) -> Option<usize> {
         let mut fewest = self.copies.count(&Requirement::anywhere(model.clone()));
         for (homes, rate) in self.demands.model_rates_by_homes(model) {
-            if !self.is_at_home(ledger, homes) {
+            if !self.is_within_homes(record, homes) {
                 continue;
             }
             let requirement = Requirement {
@@ -158,19 +163,19 @@
         Some(fewest)
     }
 
-    /// The adapter of a runner that was unused for the longest, if one can go.
-    pub(super) fn adapter_victim(&self, ledger: &Ledger, now: Timestamp) -> Option<Unit> {
+    /// The least recently used adapter on a runner that can be evicted, if there is one.
+    pub(super) fn adapter_victim(&self, record: &RunnerRecord, now: Timestamp) -> Option<Unit> {
         let to_unit = |(model, adapter): (ModelName, AdapterName)| Unit {
-            service: ledger.runner.service.clone(),
+            service: record.runner.service.clone(),
             model,
             adapter: Some(adapter),
         };
-        ledger
+        record
             .adapters()
             .into_iter()
             .map(to_unit)
-            .filter(|unit| ledger.has(unit) && !self.demands.is_waited_for(unit))
-            .filter(|unit| self.demands.running(&ledger.runner.id, unit) == 0)
+            .filter(|unit| record.has(unit) && !self.demands.is_waited_for(unit))
+            .filter(|unit| self.demands.running(&record.runner.id, unit) == 0)
             .max_by_key(|unit| self.demands.unused_for(unit, now).unwrap_or(Duration::MAX))
     }
 }
--- a/crates/routing/tests/dissemination.rs
+++ b/crates/routing/tests/dissemination.rs
@@ -170,7 +170,7 @@
             member.table.replace(listed(list), 1);
         }
         world.placement.set_runners(world.table.iter());
-        world.placement.believe(&world.table);
+        world.placement.assume_holdings(&world.table);
         world
     }
 
@@ -209,7 +209,7 @@
         };
         let id = runner(index, 0, false).id;
         self.placement
-            .reported(&id, Some(report), self.now, self.now);
+            .apply_report(&id, Some(report), self.now, self.now);
     }
 
     fn usage(&self, index: usize) -> Usage {
@@ -281,7 +281,7 @@
             }
             if is_usage_due && !is_lost() {
                 self.dissemination.heard(&usage.from, usage.known, self.now);
-                self.placement.usage(usage, self.now);
+                self.placement.update_usage(usage, self.now);
             }
         }
         self.placement.set_runners(self.table.iter());
--- a/crates/routing/tests/lives.rs
+++ b/crates/routing/tests/lives.rs
@@ -325,7 +325,7 @@
         used: Vec::new(),
         running: Vec::new(),
     };
-    placement.usage(usage, now);
+    placement.update_usage(usage, now);
 }
 
 fn orders(actions: &[Action]) -> Vec<(RunnerId, u64)> {
@@ -352,12 +352,15 @@
         let mut placement = placement(std::slice::from_ref(&known));
         assert_eq!(reports(&placement.plan(NOW)), 1);
         let foreign = report(other, 3, held());
-        assert_eq!(placement.reported(&known.id, Some(foreign), NOW, NOW), None);
+        assert_eq!(
+            placement.apply_report(&known.id, Some(foreign), NOW, NOW),
+            None
+        );
         assert_eq!(placement.announced().count(), 0);
         // It is asked again, as if no report had come.
         assert_eq!(reports(&placement.plan(NOW + Duration::from_secs(1))), 1);
         let own = report(Some(5), 3, held());
-        placement.reported(&known.id, Some(own), NOW, NOW);
+        placement.apply_report(&known.id, Some(own), NOW, NOW);
         assert_eq!(placement.announced().count(), 1);
     }
 }
@@ -376,12 +379,12 @@
     ] {
         let mut placement = placement(std::slice::from_ref(&first));
         placement.plan(NOW);
-        placement.reported(&first.id, Some(report(Some(5), 3, held())), NOW, NOW);
+        placement.apply_report(&first.id, Some(report(Some(5), 3, held())), NOW, NOW);
         wait_for(&mut placement, "n", NOW);
         assert_eq!(orders(&placement.plan(NOW)), [(first.id.clone(), 3)]);
 
         placement.set_runners([&second].into_iter());
-        placement.answered(&first.id, answer, NOW);
+        placement.apply_answer(&first.id, answer, NOW);
         assert_eq!(placement.announced().count(), 0, "{answer:?}");
         let later = NOW + Duration::from_millis(50);
         let actions = placement.plan(later);
@@ -391,9 +394,9 @@
             "{answer:?}"
         );
         // A report of the first life that was under way says nothing of the second.
-        placement.reported(&first.id, Some(report(Some(5), 4, held())), NOW, later);
+        placement.apply_report(&first.id, Some(report(Some(5), 4, held())), NOW, later);
         assert_eq!(placement.announced().count(), 0, "{answer:?}");
-        placement.reported(
+        placement.apply_report(
             &second.id,
             Some(report(Some(9), 0, Holdings::new())),
             later,
--- a/crates/routing/tests/mass_restart.rs
+++ b/crates/routing/tests/mass_restart.rs
@@ -405,7 +405,7 @@
         if is_due {
             self.summarize(index);
             self.dissemination.heard(&usage.from, usage.known, self.now);
-            self.placement.usage(usage, self.now);
+            self.placement.update_usage(usage, self.now);
         }
     }
 
@@ -437,7 +437,7 @@
                 ..RunnerReport::default()
             };
             self.placement
-                .reported(&runner, Some(report), self.now, self.now);
+                .apply_report(&runner, Some(report), self.now, self.now);
         }
         for action in self.placement.plan(self.now) {
             if let Action::Report { runner, .. } = action {
@@ -565,7 +565,7 @@
     let mut placement = Placement::new(PlacementSettings::default(), now, now);
     placement.configure(&configuration());
     placement.set_runners(table.iter());
-    placement.believe(table);
+    placement.assume_holdings(table);
     placement
 }
 
--- a/crates/routing/tests/placement/homes.rs
+++ b/crates/routing/tests/placement/homes.rs
@@ -1,4 +1,4 @@
-//! Units for requests that may be served in some regions only.
+//! Placement of units for requests that may only be served in some regions.
 
 use std::collections::BTreeSet;
 
@@ -12,68 +12,72 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-use crate::world::{World, adapter, configuration, idle_usage, model, regions, runners};
+use crate::simulation::{Simulation, adapter, configuration, idle_usage, model, regions, runners};
 
 fn homes(names: &[&str]) -> Homes {
     Homes::named(names.iter().map(|name| Region::new(name)))
 }
 
-fn calm(world: &mut World, steps: usize) {
+fn run_without_faults(simulation: &mut Simulation, steps: usize) {
     for _ in 0..steps {
-        world.step(&mut std::iter::empty());
+        simulation.step(&mut std::iter::empty());
     }
 }
 
-/// Time for a load from the weight store after reports were read, in steps.
+/// Steps for a load from the weight store after the reports were read.
 const LOADED: usize = 120;
 
 #[test]
-fn a_model_that_is_loaded_abroad_only_is_loaded_at_home() {
-    let mut world = World::new(3);
+fn a_model_loaded_only_in_another_region_is_loaded_at_home() {
+    let mut simulation = Simulation::new(3);
     let unit = model(0);
-    world.set_waiting(vec![unit.clone()]);
-    world.set_homes(homes(&["north"]));
-    calm(&mut world, LOADED);
-    assert!(world.holds_within(&unit, &homes(&["north"])));
-    assert!(!world.holds_within(&unit, &homes(&["west", "east"])));
-
-    world.set_homes(homes(&["west"]));
-    calm(&mut world, LOADED);
+    simulation.set_waiting(vec![unit.clone()]);
+    simulation.set_homes(homes(&["north"]));
+    run_without_faults(&mut simulation, LOADED);
+    assert!(simulation.holds_within(&unit, &homes(&["north"])));
+    assert!(!simulation.holds_within(&unit, &homes(&["west", "east"])));
+
+    simulation.set_homes(homes(&["west"]));
+    run_without_faults(&mut simulation, LOADED);
     assert!(
-        world.holds_within(&unit, &homes(&["west"])),
-        "it is abroad only"
+        simulation.holds_within(&unit, &homes(&["west"])),
+        "the model is only in another region"
     );
-    assert!(!world.holds_within(&unit, &homes(&["east"])));
+    assert!(!simulation.holds_within(&unit, &homes(&["east"])));
 }
 
 #[test]
-fn an_adapter_comes_where_its_requests_are_at_home() {
-    let mut world = World::new(3);
+fn an_adapter_is_loaded_within_the_homes_of_its_requests() {
+    let mut simulation = Simulation::new(3);
     let unit = adapter(0, 1);
     for region in ["north", "west"] {
         let home = homes(&[region]);
-        world.set_waiting(vec![unit.clone()]);
-        world.set_homes(home.clone());
-        calm(&mut world, LOADED);
-        assert!(world.holds_within(&unit, &home), "none in the {region}");
+        simulation.set_waiting(vec![unit.clone()]);
+        simulation.set_homes(home.clone());
+        run_without_faults(&mut simulation, LOADED);
+        assert!(
+            simulation.holds_within(&unit, &home),
+            "the adapter is not in the {region}"
+        );
     }
-    assert!(!world.holds(&adapter(1, 1)));
-    assert!(!world.holds_within(&unit, &homes(&["east"])));
+    assert!(!simulation.holds(&adapter(1, 1)));
+    assert!(!simulation.holds_within(&unit, &homes(&["east"])));
 }
 
-/// A copy on the disk of a runner abroad helps nobody at home, whether that runner is free or busy.
+/// A copy on the disk of a runner in another region is of no use to requests at home, whether that
+/// runner is free or busy.
 #[test]
-fn weights_that_lie_abroad_are_not_waited_for() {
-    let mut world = World::new(3);
-    world.store_at(1, &model(0));
-    world.store_at(1, &model(1));
-    calm(&mut world, 10);
-    world.set_homes(homes(&["west"]));
-    world.set_waiting(vec![model(0), model(1)]);
-    calm(&mut world, 2 * LOADED);
+fn weights_in_another_region_are_not_waited_for() {
+    let mut simulation = Simulation::new(3);
+    simulation.cache_at(1, &model(0));
+    simulation.cache_at(1, &model(1));
+    run_without_faults(&mut simulation, 10);
+    simulation.set_homes(homes(&["west"]));
+    simulation.set_waiting(vec![model(0), model(1)]);
+    run_without_faults(&mut simulation, 2 * LOADED);
     for unit in [model(0), model(1)] {
-        assert!(world.holds_within(&unit, &homes(&["west"])), "{unit}");
-        assert!(!world.holds_within(&unit, &homes(&["east"])), "{unit}");
+        assert!(simulation.holds_within(&unit, &homes(&["west"])), "{unit}");
+        assert!(!simulation.holds_within(&unit, &homes(&["east"])), "{unit}");
     }
 }
 
@@ -81,7 +85,7 @@
     RunnerId::new(&format!("r{index}"))
 }
 
-/// A coordinator before as many runners, one of which holds the first model.
+/// A coordinator with the given number of runners, one of which holds the first model.
 pub fn placement(count: usize, holder: Option<usize>, now: Timestamp) -> Placement {
     let placement = Placement::new(PlacementSettings::default(), now, now);
     let mut placement = placement.in_regions(regions());
@@ -92,7 +96,7 @@
         if holder == Some(index) {
             report.holdings.insert(model(0).model, BTreeSet::new());
         }
-        placement.reported(&runner_id(index), Some(report), now, now);
+        placement.apply_report(&runner_id(index), Some(report), now, now);
     }
     placement
 }
@@ -128,14 +132,14 @@
     }
 }
 
-fn bound(unit: Unit, names: &[&str]) -> Requirement {
+fn restricted(unit: Unit, names: &[&str]) -> Requirement {
     Requirement {
         unit,
         homes: homes(names),
     }
 }
 
-/// The loads that a plan orders: runner and reason.
+/// The loads that a plan orders: runner, unit and reason.
 pub fn loads(placement: &mut Placement, now: Timestamp) -> Vec<(RunnerId, Unit, Reason)> {
     let actions = placement.plan(now).into_iter();
     let loads = actions.filter_map(|action| match action {
@@ -151,19 +155,23 @@
 }
 
 #[test]
-fn an_outlook_promises_only_what_comes_within_the_homes() {
+fn a_readiness_estimate_covers_only_loads_within_the_homes() {
     let now = Timestamp(1_000);
     let mut placement = placement(6, None, now);
-    let west = bound(model(0), &["west"]);
-    placement.usage(usage(vec![(west.clone(), 1)], Vec::new(), 0), now);
+    let west = restricted(model(0), &["west"]);
+    placement.update_usage(usage(vec![(west.clone(), 1)], Vec::new(), 0), now);
     assert_eq!(loads(&mut placement, now).len(), 1);
-    let outlooks = placement.outlooks(now);
-    let ready_in = |requirement: &Requirement| Some(outlooks.of(requirement)?.ready_in_ms);
-    assert_eq!(ready_in(&west), Some(4_000), "it is being loaded there");
+    let estimates = placement.readiness_estimates(now);
+    let ready_in = |requirement: &Requirement| Some(estimates.estimate(requirement)?.ready_in_ms);
+    assert_eq!(
+        ready_in(&west),
+        Some(4_000),
+        "it is being loaded in the west"
+    );
     assert_eq!(ready_in(&Requirement::anywhere(model(0))), Some(4_000));
-    let east = ready_in(&bound(model(0), &["east"])).unwrap();
-    assert!(east > 4_000, "nothing is on its way in the east: {east}");
-    assert_eq!(ready_in(&bound(model(0), &["south"])), None);
+    let east = ready_in(&restricted(model(0), &["east"])).unwrap();
+    assert!(east > 4_000, "nothing is being loaded in the east: {east}");
+    assert_eq!(ready_in(&restricted(model(0), &["south"])), None);
     let nowhere = homes(&["west"]).and(&homes(&["east"]));
     let nowhere = Requirement {
         unit: model(0),
@@ -172,14 +180,15 @@
     assert_eq!(ready_in(&nowhere), None);
 }
 
-/// Runners 0 and 3 are in the west. The busy model's further copies go where its requests may be served.
+/// Runners 0 and 3 are in the west. Additional copies of the busy model are placed where its
+/// requests may be served.
 #[test]
 fn copies_of_a_busy_model_are_within_the_homes_of_its_requests() {
     let now = Timestamp(1_000);
     let busy = 40;
     let at = |requirement: Requirement| {
         let mut placement = placement(9, Some(0), now);
-        placement.usage(usage(Vec::new(), vec![(requirement, busy)], 30), now);
+        placement.update_usage(usage(Vec::new(), vec![(requirement, busy)], 30), now);
         let loads = loads(&mut placement, now);
         let runners = loads.into_iter().map(|(runner, _, reason)| {
             assert_eq!(reason, Reason::Replica);
@@ -187,17 +196,18 @@
         });
         runners.collect::<Vec<String>>()
     };
-    assert_eq!(at(bound(model(0), &["west"])), ["r3"]);
-    // Where it may be served anywhere, a zone without a copy comes first.
+    assert_eq!(at(restricted(model(0), &["west"])), ["r3"]);
+    // Without a home restriction, a zone without a copy is preferred.
     assert_eq!(at(Requirement::anywhere(model(0))), ["r1"]);
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(12), failure_persistence: None, cases: 200, ..ProptestConfig::default() })]
 
-    /// Whatever waits under whatever homes: each unit is loaded only at runners that some request for it may use.
+    /// For any waiting units and homes, each unit is loaded only on runners that some request for
+    /// it may use.
     #[test]
-    fn no_load_is_outside_the_homes_of_all_who_wait(
+    fn no_load_is_outside_the_homes_of_all_waiting_requests(
         count in 1_usize..10,
         holder in prop::option::of(0_usize..10),
         waiting in prop::collection::vec(
@@ -215,7 +225,7 @@
                 wanted.push((requirement, requests));
             }
         }
-        placement.usage(usage(wanted.clone(), Vec::new(), 0), now);
+        placement.update_usage(usage(wanted.clone(), Vec::new(), 0), now);
         for (runner, unit, _) in loads(&mut placement, now) {
             let index: usize = runner.as_str()[1..].parse().unwrap();
             let region = Region::new(["west", "east", "north"][index % 3]);
--- a/crates/routing/tests/placement/scarce.rs
+++ b/crates/routing/tests/placement/limited_capacity.rs
@@ -1,4 +1,4 @@
-//! Loads while runners are cold or name a rate.
+//! Loads while runners are cold or rate-limited.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -13,13 +13,13 @@
 use flaxward_routing::runners::Runner;
 use flaxward_types::time::Timestamp;
 
-use crate::world::{adapter, configuration_with, idle_usage, model, runners};
+use crate::simulation::{adapter, configuration_with, idle_usage, model, runners};
 
 const BEGIN: Timestamp = Timestamp(1_000);
-/// Requests a second that a cold runner bears.
+/// Requests per second that a cold runner can serve.
 const COLD_RATE: f64 = 10.0;
 
-/// Runners of one zone, cold for some time each.
+/// Runners of one zone, each cold for the given time.
 fn cold_runners(cold_ms: &[u64]) -> Vec<Runner> {
     let runners = runners(cold_ms.len()).into_iter().zip(cold_ms);
     let cold = runners.map(|(runner, &cold_ms)| Runner {
@@ -55,7 +55,7 @@
         let runners = cold_runners(cold_ms);
         placement.set_runners(runners.iter());
         for (runner, report) in runners.iter().zip(reports) {
-            placement.reported(&runner.id, Some(report), BEGIN, BEGIN);
+            placement.apply_report(&runner.id, Some(report), BEGIN, BEGIN);
         }
         Self {
             placement,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The runner that gets a load, while so many requests wait for a unit.
+    /// The runner and unit of the load ordered while the given number of requests wait for a unit.
     fn load(&mut self, unit: &Unit, requests: u32, now: Timestamp) -> Option<(String, Unit)> {
         let usage = Usage {
             waiting: vec![WaitingUnit {
@@ -75,7 +75,7 @@
             }],
             ..idle_usage()
         };
-        self.placement.usage(usage, now);
+        self.placement.update_usage(usage, now);
         self.placement.set_runners(self.runners.iter());
         let mut actions = self.placement.plan(now).into_iter();
         actions.find_map(|action| match action {
@@ -88,19 +88,19 @@
 }
 
 impl Fleet {
-    /// A runner names a rate, or none any more.
-    fn name_rate(&mut self, runner: usize, per_second: Option<f64>, now: Timestamp) {
+    /// Sets or clears the rate limit that a runner announces.
+    fn set_rate_limit(&mut self, runner: usize, per_second: Option<f64>, now: Timestamp) {
         let notice = RunnerNotice {
             rate_limit: per_second.and_then(RequestRate::per_second),
             ..RunnerNotice::default()
         };
         let id = &self.runners[runner].id;
         self.notices.take_in(id, notice, now, now);
-        self.placement.hear_notices(&self.notices, now);
+        self.placement.apply_notices(&self.notices, now);
     }
 }
 
-/// A runner with these models and adapters, and the first model on its disk.
+/// A runner with the given models and adapters, and the first model on its disk.
 fn report(held: &[Unit]) -> RunnerReport {
     let mut report = RunnerReport::default();
     for unit in held {
@@ -116,7 +116,7 @@
     load.map(|(runner, _)| runner)
 }
 
-/// A load from disk takes 1.7 s. What is cold for longer costs the rest of it.
+/// A load from disk takes 1.7 s. A longer cold period adds the rest of it to the cost.
 #[test]
 fn a_warm_runner_comes_before_one_that_is_still_cold_when_the_load_ends() {
     let at = |cold_ms: [u64; 2]| {
@@ -126,12 +126,16 @@
     assert_eq!(at([0, 0]), "r0");
     assert_eq!(at([3_000, 0]), "r1");
     assert_eq!(at([3_000, 2_500]), "r1");
-    assert_eq!(at([1_600, 0]), "r0", "it is warm when the load ends");
+    assert_eq!(
+        at([1_600, 0]),
+        "r0",
+        "the runner is warm when the load ends"
+    );
 }
 
-/// A load from the weight store takes 4 s, in which a spell of 3 s ends.
+/// A load from the weight store takes 4 s, in which a cold period of 3 s ends.
 #[test]
-fn orders_to_a_runner_that_warms_up_go_on() {
+fn a_runner_that_is_warm_when_the_load_ends_gets_the_load() {
     let mut fleet = Fleet::new(&[3_000], vec![report(&[])]);
     assert_eq!(
         runner_of(fleet.load(&model(1), 1, BEGIN)).as_deref(),
@@ -139,9 +143,9 @@
     );
 }
 
-/// An entry is written when the spell begins, and not when it ends.
+/// An entry is written when the cold period begins, but not when it ends.
 #[test]
-fn a_cold_spell_ends_with_time_and_not_with_the_next_look_at_the_list() {
+fn a_cold_period_ends_with_time_and_not_with_the_next_read_of_the_list() {
     let mut fleet = Fleet::new(&[3_000, 0], vec![report(&[]), report(&[model(5)])]);
     let nothing = fleet.load(&model(5), 1, BEGIN);
     assert_eq!(nothing, None);
@@ -153,30 +157,30 @@
 }
 
 #[test]
-fn another_copy_comes_if_all_are_cold_and_more_requests_wait_than_they_bear() {
+fn another_copy_is_loaded_if_all_are_cold_and_demand_exceeds_their_capacity() {
     let held = || vec![report(&[model(0)]), report(&[])];
     let at = |cold_ms: [u64; 2], requests: u32| {
         let mut fleet = Fleet::new(&cold_ms, held());
         runner_of(fleet.load(&model(0), requests, BEGIN))
     };
-    // 17 requests are borne in the 1.7 s of a load.
+    // The cold copy serves 17 requests in the 1.7 s of a load.
     assert_eq!(at([3_000, 0], 40).as_deref(), Some("r1"));
-    assert_eq!(at([3_000, 0], 3), None, "the cold copy bears them");
+    assert_eq!(at([3_000, 0], 3), None, "the cold copy has enough capacity");
     assert_eq!(
         at([1_500, 0], 40),
         None,
-        "it is warm before the other one is ready"
+        "the copy is warm before the other one is ready"
     );
     assert_eq!(
         at([3_000, 3_000], 40),
         None,
-        "the other one is cold as well"
+        "the other runner is cold as well"
     );
     assert_eq!(at([0, 0], 40), None, "the copy is warm");
 }
 
 #[test]
-fn one_other_copy_is_enough_and_none_comes_where_nobody_says_what_cold_runners_bear() {
+fn one_other_copy_is_enough_and_none_is_loaded_without_a_configured_cold_rate() {
     let held = || vec![report(&[model(0)]), report(&[]), report(&[])];
     let mut fleet = Fleet::new(&[3_000, 0, 0], held());
     assert!(fleet.load(&model(0), 40, BEGIN).is_some());
@@ -190,7 +194,7 @@
 }
 
 #[test]
-fn an_adapter_on_a_cold_runner_comes_to_a_warm_one_with_its_model() {
+fn an_adapter_on_a_cold_runner_is_also_loaded_on_a_warm_one_with_its_model() {
     let unit = adapter(0, 1);
     let held = || vec![report(std::slice::from_ref(&unit)), report(&[model(0)])];
     let mut fleet = Fleet::new(&[3_000, 0], held());
@@ -200,30 +204,31 @@
     assert_eq!(fleet.load(&unit, 40, BEGIN), None);
 }
 
-/// A runner that names a rate bears no more, and does not say for how long. A load from disk takes 1.7 s.
+/// A rate-limited runner serves no more than its rate and does not say for how long. A load from
+/// disk takes 1.7 s.
 #[test]
-fn another_copy_comes_if_the_only_one_names_a_rate_and_more_requests_wait_than_that() {
+fn another_copy_is_loaded_if_the_only_one_is_rate_limited_and_demand_exceeds_its_rate() {
     let held = || vec![report(&[model(0)]), report(&[])];
     let at = |rate: Option<f64>, requests: u32| {
         let mut fleet = Fleet::with_cold_start(None, &[0, 0], held());
-        fleet.name_rate(0, rate, BEGIN);
+        fleet.set_rate_limit(0, rate, BEGIN);
         runner_of(fleet.load(&model(0), requests, BEGIN))
     };
     assert_eq!(at(Some(1.0), 5).as_deref(), Some("r1"));
-    assert_eq!(at(Some(20.0), 5), None, "the copy bears them");
-    assert_eq!(at(None, 5), None, "it names none");
+    assert_eq!(at(Some(20.0), 5), None, "the rate limit is high enough");
+    assert_eq!(at(None, 5), None, "there is no rate limit");
 }
 
 #[test]
-fn a_model_is_loaded_at_a_runner_that_names_no_rate_and_at_another_once_it_is_over() {
+fn a_model_is_loaded_on_the_runner_without_a_rate_limit_until_the_limit_of_the_other_ends() {
     let mut fleet = Fleet::with_cold_start(None, &[0, 0], vec![report(&[]), report(&[])]);
-    fleet.name_rate(0, Some(1.0), BEGIN);
+    fleet.set_rate_limit(0, Some(1.0), BEGIN);
     let load = fleet.load(&model(0), 1, BEGIN);
     assert_eq!(runner_of(load).as_deref(), Some("r1"));
 
     let mut fleet = Fleet::with_cold_start(None, &[0, 0], vec![report(&[]), report(&[])]);
-    fleet.name_rate(0, Some(1.0), BEGIN);
-    fleet.name_rate(0, None, BEGIN + Duration::from_millis(10));
+    fleet.set_rate_limit(0, Some(1.0), BEGIN);
+    fleet.set_rate_limit(0, None, BEGIN + Duration::from_millis(10));
     let load = fleet.load(&model(0), 1, BEGIN + Duration::from_millis(20));
     assert_eq!(runner_of(load).as_deref(), Some("r0"));
 }
--- a/crates/routing/tests/placement/main.rs
+++ b/crates/routing/tests/placement/main.rs
@@ -1,10 +1,11 @@
-//! The placement against model runners that report late, lose answers and carry orders out late.
+//! Tests of the placement against simulated runners that report late, lose answers and execute
+//! orders late.
 
 mod cases;
 mod homes;
+mod limited_capacity;
 mod paced_calls;
-mod pressure;
 mod properties;
 mod regions;
-mod scarce;
-mod world;
+mod saturation;
+mod simulation;
--- a/crates/routing/tests/placement/paced_calls.rs
+++ b/crates/routing/tests/placement/paced_calls.rs
@@ -1,4 +1,4 @@
-//! Calls of the coordinator to runners that name a rate or rest.
+//! Calls of the coordinator to runners with a rate limit or a pause.
 
 use std::time::Duration;
 
@@ -8,13 +8,14 @@
 use flaxward_routing::rate_limit::RequestRate;
 use flaxward_types::time::Timestamp;
 
-use crate::world::{configuration, runners};
+use crate::simulation::{configuration, runners};
 
 const BEGIN: Timestamp = Timestamp(1_000);
 const STEP: Duration = Duration::from_millis(50);
 const TIME: Duration = Duration::from_secs(12);
 
-/// When the reports of one runner are asked for, if each shows an order which nobody has given: they are read again and again.
+/// When the reports of one runner are requested. Each report shows an unknown order, so that they
+/// are read repeatedly.
 fn reports(notice: RunnerNotice) -> Vec<Timestamp> {
     let runner = runners(1).remove(0);
     let mut notices = Notices::default();
@@ -25,7 +26,7 @@
     let mut asked = Vec::new();
     let mut now = BEGIN;
     while now.since(BEGIN) < TIME {
-        placement.hear_notices(&notices, now);
+        placement.apply_notices(&notices, now);
         let asks = |action: &Action| match action {
             Action::Report { runner: asked, .. } => *asked == runner.id,
             Action::Order { .. } => false,
@@ -44,17 +45,17 @@
         is_busy: true,
         ..RunnerReport::default()
     };
-    placement.reported(runner, Some(report), now, now);
+    placement.apply_report(runner, Some(report), now, now);
 }
 
 #[test]
-fn a_runner_that_says_nothing_is_called_at_any_time() {
+fn a_runner_without_a_notice_is_called_at_any_time() {
     let asked = reports(RunnerNotice::default());
     assert!(asked.len() > 50, "{asked:?}");
 }
 
 #[test]
-fn a_runner_that_names_a_rate_is_called_twice_in_four_seconds_at_most() {
+fn a_rate_limited_runner_is_called_at_most_twice_in_four_seconds() {
     let asked = reports(RunnerNotice {
         rate_limit: RequestRate::per_second(1.0),
         ..RunnerNotice::default()
@@ -65,7 +66,7 @@
 }
 
 #[test]
-fn a_runner_that_rests_is_not_called() {
+fn a_paused_runner_is_not_called() {
     let rest = Duration::from_secs(3);
     let asked = reports(RunnerNotice {
         rest: Some(rest),
--- a/crates/routing/tests/placement/properties.rs
+++ b/crates/routing/tests/placement/properties.rs
@@ -1,17 +1,17 @@
-//! Whatever is asked for and whatever happens to orders, runners are never overfilled, the ceiling of
-//! loads holds, and what is waited for comes once the faults are over.
+//! For any demand and any faults of orders, runner memory is never overcommitted, the store load
+//! rate is kept, and requested units are loaded once the faults are over.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-use crate::world::{Fate, World, adapter, model};
+use crate::simulation::{Delivery, Simulation, adapter, model};
 
-fn fate() -> impl Strategy<Value = Fate> {
+fn delivery() -> impl Strategy<Value = Delivery> {
     prop_oneof![
-        5 => Just(Fate::Answered),
-        1 => Just(Fate::Lost),
-        1 => Just(Fate::AnswerLost),
-        2 => (1_usize..240).prop_map(Fate::Late),
+        5 => Just(Delivery::Answered),
+        1 => Just(Delivery::Lost),
+        1 => Just(Delivery::AnswerLost),
+        2 => (1_usize..240).prop_map(Delivery::Late),
     ]
 }
 
@@ -38,13 +38,13 @@
     })]
 
     #[test]
-    fn runners_are_never_overfilled(
+    fn runner_memory_is_never_overcommitted(
         runners in 1_usize..5,
         changes in prop::collection::vec((change(), 1_usize..60), 1..20),
-        fates in prop::collection::vec(fate(), 200),
+        deliveries in prop::collection::vec(delivery(), 200),
     ) {
-        let mut world = World::new(runners);
-        let mut fates = fates.into_iter();
+        let mut simulation = Simulation::new(runners);
+        let mut deliveries = deliveries.into_iter();
         for (change, steps) in changes {
             match change {
                 Change::Wait(units) => {
@@ -52,20 +52,20 @@
                         Some(name) => adapter(index, name),
                         None => model(index),
                     });
-                    world.set_waiting(units.collect());
+                    simulation.set_waiting(units.collect());
                 }
-                Change::TakeOver => world.take_over(),
+                Change::TakeOver => simulation.take_over(),
             }
             for _ in 0..steps {
-                world.step(&mut fates);
+                simulation.step(&mut deliveries);
             }
         }
         let wanted = model(5);
-        world.set_waiting(vec![wanted.clone()]);
-        let mut calm = std::iter::empty();
+        simulation.set_waiting(vec![wanted.clone()]);
+        let mut no_faults = std::iter::empty();
         for _ in 0..600 {
-            world.step(&mut calm);
+            simulation.step(&mut no_faults);
         }
-        prop_assert!(world.holds(&wanted), "what is waited for never came");
+        prop_assert!(simulation.holds(&wanted), "the requested model was never loaded");
     }
 }
--- a/crates/routing/tests/placement/regions.rs
+++ b/crates/routing/tests/placement/regions.rs
@@ -1,4 +1,4 @@
-//! Loads where the callers are.
+//! Placement of loads in the regions of the callers.
 
 use flaxward_routing::homes::Requirement;
 use flaxward_routing::messages::Usage;
@@ -7,11 +7,11 @@
 use flaxward_types::time::Timestamp;
 
 use crate::homes::{loads, placement, usage};
-use crate::world::model;
+use crate::simulation::model;
 
 const NOW: Timestamp = Timestamp(1_000);
 
-/// A daemon in the zone of this number, whose requests wait for the first model and have used it.
+/// A daemon in the given zone whose requests wait for the first model and have used it.
 fn daemon(zone: usize, waiting: u32, used: u32) -> Usage {
     let unit = Requirement::anywhere(model(0));
     let some = |requests: u32| (requests > 0).then(|| (unit.clone(), requests));
@@ -29,7 +29,7 @@
 
 fn first_load(mut placement: Placement, daemons: Vec<Usage>) -> Option<String> {
     for daemon in daemons {
-        placement.usage(daemon, NOW);
+        placement.update_usage(daemon, NOW);
     }
     let load = loads(&mut placement, NOW).into_iter().next();
     load.map(|(runner, _, _)| runner.to_string())
@@ -42,7 +42,7 @@
     assert_eq!(at(vec![daemon(0, 1, 0)]), "r0");
     assert_eq!(at(vec![daemon(1, 1, 0)]), "r1");
     assert_eq!(at(vec![daemon(0, 1, 0), daemon(2, 5, 0)]), "r2");
-    // Of a zone whose region nobody has told, nothing is known.
+    // Zone 7 has no known region, so that its requests have no influence.
     assert_eq!(at(vec![daemon(7, 5, 0)]), "r0");
 }
 
--- a/crates/routing/tests/placement/world.rs
+++ b/crates/routing/tests/placement/simulation.rs
@@ -1,4 +1,5 @@
-//! Runners and a coordinator in virtual time. The runners check what no coordinator may do.
+//! Simulated runners and a coordinator in virtual time. The runners check the invariants that every
+//! coordinator must keep.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -19,9 +20,9 @@
 use flaxward_routing::strength::MachineStrength;
 use flaxward_types::time::Timestamp;
 
-/// Length of one step of the world.
+/// Length of one simulation step.
 pub const STEP: Duration = Duration::from_millis(50);
-/// How late reports are.
+/// Delay of reports.
 const REPORT_LAG: Duration = Duration::from_millis(100);
 const STORE_LOAD: Duration = Duration::from_secs(4);
 const DISK_LOAD: Duration = Duration::from_millis(1_700);
@@ -48,7 +49,7 @@
     }
 }
 
-/// What a daemon tells that has no requests.
+/// The usage message of a daemon without requests.
 pub fn idle_usage() -> Usage {
     Usage {
         from: "d".to_owned(),
@@ -77,7 +78,7 @@
     configuration_with(None)
 }
 
-/// The same, where runners are cold after their start.
+/// The same configuration, with an optional cold period after the start of runners.
 pub fn configuration_with(cold_start: Option<ColdStart>) -> Configuration {
     let models = (0..MODELS.len())
         .map(|index| (model(index).model, specification(index)))
@@ -98,22 +99,22 @@
     Configuration::new(1, ClientLimits::default(), Vec::new(), vec![service])
 }
 
-/// What happens to an order.
+/// Delivery of an order and its answer.
 #[derive(Clone, Copy, Debug)]
-pub enum Fate {
+pub enum Delivery {
     Answered,
     Lost,
     AnswerLost,
-    /// No answer, and it reaches the runner this many steps later.
+    /// No answer, and the order reaches the runner this many steps later.
     Late(usize),
 }
 
-/// A runner's own state.
+/// Internal state of a simulated runner.
 #[derive(Clone, Debug)]
 struct EngineState {
     holdings: Holdings,
     pending: BTreeMap<(ModelName, AdapterName), Timestamp>,
-    /// Models of which a copy lies on disk.
+    /// Models with a copy on disk.
     on_disk: BTreeSet<ModelName>,
     unload_time: Duration,
     busy: Option<(Order, Timestamp)>,
@@ -199,7 +200,7 @@
                 self.busy = Some((order.clone(), now + time));
                 assert!(
                     self.used_mb() <= RUNNER_MB,
-                    "over the memory by {order:?}: {self:?}"
+                    "memory exceeded by {order:?}: {self:?}"
                 );
             }
             Some(adapter) => self.take_adapter(order, adapter, now),
@@ -241,14 +242,14 @@
     }
 }
 
-/// A runner with its past, from which late reports come.
-struct Engine0 {
+/// A runner with its past reports, from which delayed reports are taken.
+struct SimulatedRunner {
     runner: Runner,
     state: EngineState,
     past: VecDeque<(Timestamp, RunnerReport)>,
 }
 
-/// An order that is on its way for long.
+/// An order that is delivered late.
 struct LateOrder {
     at_step: usize,
     runner: RunnerId,
@@ -257,35 +258,35 @@
     fence: u64,
 }
 
-/// Everything.
-pub struct World {
+/// The simulation of a coordinator and its runners.
+pub struct Simulation {
     pub placement: Placement,
-    engines: BTreeMap<RunnerId, Engine0>,
+    engines: BTreeMap<RunnerId, SimulatedRunner>,
     late: Vec<LateOrder>,
     fence: u64,
     step: usize,
     store_loads: Vec<Timestamp>,
     waiting: Vec<Unit>,
-    /// Requests and rank of what waits, where they are not 1.
+    /// Number of requests and priority rank of waiting units, where they are not 1.
     demand: Vec<(Unit, u32, u8)>,
-    /// The homes of the requests that wait and come.
+    /// The homes of all requests.
     homes: Homes,
     /// A runner that answers nothing.
-    hung: Option<RunnerId>,
+    unresponsive: Option<RunnerId>,
 }
 
-impl World {
+impl Simulation {
     pub fn new(runners: usize) -> Self {
         let engines = (0..runners).map(|index| {
             let runner = runner(index);
-            let engine = Engine0 {
+            let engine = SimulatedRunner {
                 runner: runner.clone(),
                 state: EngineState::default(),
                 past: VecDeque::new(),
             };
             (runner.id, engine)
         });
-        let mut world = Self {
+        let mut simulation = Self {
             placement: Placement::new(settings(), Timestamp::ZERO, Timestamp::ZERO)
                 .in_regions(regions()),
             engines: engines.collect(),
@@ -296,17 +297,17 @@
             waiting: Vec::new(),
             demand: Vec::new(),
             homes: Homes::Anywhere,
-            hung: None,
+            unresponsive: None,
         };
-        world.placement.configure(&configuration());
-        world
+        simulation.placement.configure(&configuration());
+        simulation
     }
 
     pub fn now(&self) -> Timestamp {
         Timestamp(1_000) + STEP * u32::try_from(self.step).unwrap()
     }
 
-    /// Another daemon coordinates from now on.
+    /// Replaces the coordinator by another one.
     pub fn take_over(&mut self) {
         self.fence += 1;
         let now = self.now();
@@ -314,30 +315,30 @@
         self.placement.configure(&configuration());
     }
 
-    /// Loads from the weight store so far.
+    /// Number of loads from the weight store so far.
     pub fn store_loads(&self) -> usize {
         self.store_loads.len()
     }
 
-    /// Unloads take this long at all runners.
+    /// Sets the duration of unloads on all runners.
     pub fn set_unload_time(&mut self, time: Duration) {
         for engine in self.engines.values_mut() {
             engine.state.unload_time = time;
         }
     }
 
-    /// The runner with this number answers nothing from now on.
-    pub fn hang(&mut self, runner: usize) {
-        self.hung = Some(RunnerId::new(&format!("r{runner}")));
+    /// Makes the runner with this number unresponsive.
+    pub fn make_unresponsive(&mut self, runner: usize) {
+        self.unresponsive = Some(RunnerId::new(&format!("r{runner}")));
     }
 
-    /// The runner with this number has a copy of a model on its disk.
-    pub fn store_at(&mut self, runner: usize, unit: &Unit) {
+    /// Puts a copy of a model on the disk of the runner with this number.
+    pub fn cache_at(&mut self, runner: usize, unit: &Unit) {
         let engine = self.engines.get_mut(&RunnerId::new(&format!("r{runner}")));
         engine.unwrap().state.on_disk.insert(unit.model.clone());
     }
 
-    /// Says how many requests wait for a unit, and of which rank.
+    /// Sets the units that requests wait for, with the numbers of requests and their priority rank.
     pub fn set_demand(&mut self, demand: Vec<(Unit, u32, u8)>) {
         self.waiting = demand.iter().map(|(unit, _, _)| unit.clone()).collect();
         self.demand = demand;
@@ -347,7 +348,7 @@
         self.waiting = units;
     }
 
-    /// Requests may be served in these regions from now on.
+    /// Sets the regions in which requests may be served.
     pub fn set_homes(&mut self, homes: Homes) {
         self.homes = homes;
     }
@@ -361,8 +362,8 @@
     pub fn holds_within(&self, unit: &Unit, homes: &Homes) -> bool {
         let regions = regions();
         let engines = self.engines.values();
-        let mut at_home = engines.filter(|it| regions.allow(homes, &it.runner.zone));
-        at_home.any(|engine| {
+        let mut within_homes = engines.filter(|it| regions.allow(homes, &it.runner.zone));
+        within_homes.any(|engine| {
             let adapters = engine.state.holdings.get(&unit.model);
             match (&unit.adapter, adapters) {
                 (_, None) => false,
@@ -372,7 +373,7 @@
         })
     }
 
-    pub fn step(&mut self, fates: &mut impl Iterator<Item = Fate>) {
+    pub fn step(&mut self, deliveries: &mut impl Iterator<Item = Delivery>) {
         self.step += 1;
         let now = self.now();
         self.deliver_late(now);
@@ -384,13 +385,13 @@
             }
         }
         let usage = self.usage();
-        self.placement.usage(usage, now);
+        self.placement.update_usage(usage, now);
         let runners: Vec<Runner> = self.engines.values().map(|it| it.runner.clone()).collect();
         self.placement.set_runners(runners.iter());
         for action in self.placement.plan(now) {
-            self.carry_out(action, fates, now);
+            self.carry_out(action, deliveries, now);
         }
-        self.check_ceiling(now);
+        self.check_store_load_rate(now);
     }
 
     fn usage(&self) -> Usage {
@@ -435,23 +436,23 @@
     fn carry_out(
         &mut self,
         action: Action,
-        fates: &mut impl Iterator<Item = Fate>,
+        deliveries: &mut impl Iterator<Item = Delivery>,
         now: Timestamp,
     ) {
         match action {
-            Action::Report { runner, .. } if self.hung.as_ref() == Some(&runner) => {
-                self.placement.reported(&runner, None, now, now);
+            Action::Report { runner, .. } if self.unresponsive.as_ref() == Some(&runner) => {
+                self.placement.apply_report(&runner, None, now, now);
             }
-            Action::Order { runner, .. } if self.hung.as_ref() == Some(&runner) => {
+            Action::Order { runner, .. } if self.unresponsive.as_ref() == Some(&runner) => {
                 let answer = OrderAnswer::Unknown;
-                self.placement.answered(&runner, answer, now);
+                self.placement.apply_answer(&runner, answer, now);
             }
             Action::Report { runner, .. } => {
                 let known = now - REPORT_LAG;
                 let past = &self.engines[&runner].past;
                 let report = past.iter().rev().find(|(at, _)| *at <= known);
                 let report = report.map(|(_, report)| report.clone());
-                self.placement.reported(&runner, report, now, now);
+                self.placement.apply_report(&runner, report, now, now);
             }
             Action::Order {
                 runner,
@@ -459,9 +460,9 @@
                 expected_count,
                 ..
             } => {
-                let fate = fates.next().unwrap_or(Fate::Answered);
-                let answer = self.send(&runner, order, expected_count, fate, now);
-                self.placement.answered(&runner, answer, now);
+                let delivery = deliveries.next().unwrap_or(Delivery::Answered);
+                let answer = self.send(&runner, order, expected_count, delivery, now);
+                self.placement.apply_answer(&runner, answer, now);
             }
         }
     }
@@ -471,17 +472,17 @@
         runner: &RunnerId,
         order: Order,
         expected: u64,
-        fate: Fate,
+        delivery: Delivery,
         now: Timestamp,
     ) -> OrderAnswer {
-        match fate {
-            Fate::Answered => self.deliver(runner, &order, expected, self.fence, now),
-            Fate::Lost => OrderAnswer::Unknown,
-            Fate::AnswerLost => {
+        match delivery {
+            Delivery::Answered => self.deliver(runner, &order, expected, self.fence, now),
+            Delivery::Lost => OrderAnswer::Unknown,
+            Delivery::AnswerLost => {
                 self.deliver(runner, &order, expected, self.fence, now);
                 OrderAnswer::Unknown
             }
-            Fate::Late(steps) => {
+            Delivery::Late(steps) => {
                 self.late.push(LateOrder {
                     at_step: self.step + steps,
                     runner: runner.clone(),
@@ -503,10 +504,10 @@
         now: Timestamp,
     ) -> OrderAnswer {
         let engine = self.engines.get_mut(runner).unwrap();
-        let is_stored = engine.state.on_disk.contains(&order.unit.model);
+        let is_cached = engine.state.on_disk.contains(&order.unit.model);
         let answer = engine.state.take(order, expected, fence, now);
         let is_load = order.operation == Operation::Load && order.unit.adapter.is_none();
-        if answer == OrderAnswer::Accepted && is_load && !is_stored {
+        if answer == OrderAnswer::Accepted && is_load && !is_cached {
             self.store_loads.push(now);
         }
         answer
@@ -523,13 +524,16 @@
         }
     }
 
-    /// Loads begun in any window stay under the ceiling of the platform.
-    fn check_ceiling(&self, now: Timestamp) {
+    /// Checks that the loads started in any window stay within the platform's store load rate.
+    fn check_store_load_rate(&self, now: Timestamp) {
         let window = settings().load_window;
         let start = now - window;
         let recent = self.store_loads.iter().filter(|&&at| at >= start).count();
         let allowed = LOADS_PER_SECOND * window.as_secs_f64() * 1.1 + 3.0;
-        assert!(recent as f64 <= allowed, "{recent} loads in one window");
+        assert!(
+            recent as f64 <= allowed,
+            "{recent} loads started in one window"
+        );
     }
 }
 
--- a/crates/routing/tests/store_link.rs
+++ b/crates/routing/tests/store_link.rs
@@ -1,5 +1,5 @@
-//! The bound on loads from the weight store, against a store that carries some loads at full speed and slows
-//! all of them in proportion beyond.
+//! Tests of the limit on concurrent loads from the weight store, against a store that serves some
+//! loads at full speed and slows all of them in proportion beyond that.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,27 +15,27 @@
 const STEP: Duration = Duration::from_millis(50);
 const RUNNERS: usize = 200;
 
-/// A store under steady demand, and the loads that the bound lets it have.
+/// A store under steady demand, with the loads that the limit allows.
 struct Store {
     link: StoreLink,
     /// Work left for each load, in seconds at full speed.
     loads: BTreeMap<usize, f64>,
-    /// Loads at full speed.
-    carries: f64,
-    promised: Duration,
+    /// Number of loads that run at full speed.
+    capacity: f64,
+    nominal: Duration,
     now: Timestamp,
     most_in_flight: usize,
     done: usize,
 }
 
 impl Store {
-    fn new(carries: f64, promised: Duration) -> Self {
+    fn new(capacity: f64, nominal: Duration) -> Self {
         let now = Timestamp(1_000);
         Self {
             link: StoreLink::new(now),
             loads: BTreeMap::new(),
-            carries,
-            promised,
+            capacity,
+            nominal,
             now,
             most_in_flight: 0,
             done: 0,
@@ -46,7 +46,8 @@
         RunnerId::new(&format!("r{index}"))
     }
 
-    /// Time passes; as many loads as the bound allows are in flight, but not more than are wanted.
+    /// Advances the time; as many loads are in flight as the limit allows, but no more than are
+    /// wanted.
     fn run(&mut self, time: Duration, wanted: usize) {
         let until = self.now + time;
         while self.now < until {
@@ -60,11 +61,11 @@
                 .limit()
                 .min(wanted)
                 .saturating_sub(self.loads.len());
-            let begun: Vec<usize> = free.take(places).collect();
-            for index in begun {
-                self.loads.insert(index, self.promised.as_secs_f64());
+            let started: Vec<usize> = free.take(places).collect();
+            for index in started {
+                self.loads.insert(index, self.nominal.as_secs_f64());
                 self.link
-                    .begun(&Self::runner(index), self.promised, self.now);
+                    .load_started(&Self::runner(index), self.nominal, self.now);
             }
             self.link.set_in_flight(self.loads.len(), self.now);
             self.most_in_flight = self.most_in_flight.max(self.loads.len());
@@ -73,19 +74,19 @@
 
     fn progress(&mut self) {
         let in_flight = self.loads.len() as f64;
-        let speed = (self.carries / in_flight.max(1.0)).min(1.0);
+        let speed = (self.capacity / in_flight.max(1.0)).min(1.0);
         for left in self.loads.values_mut() {
             *left -= STEP.as_secs_f64() * speed;
         }
-        let ended: Vec<usize> = self
+        let finished: Vec<usize> = self
             .loads
             .iter()
             .filter(|(_, left)| **left <= 0.0)
             .map(|(index, _)| *index)
             .collect();
-        for index in ended {
+        for index in finished {
             self.loads.remove(&index);
-            self.link.ended(&Self::runner(index), self.now);
+            self.link.load_finished(&Self::runner(index), self.now);
             self.done += 1;
         }
     }
@@ -96,20 +97,20 @@
 }
 
 #[test]
-fn the_bound_finds_what_a_store_carries() {
-    for carries in [1.0, 2.0, 4.0, 8.0, 16.0] {
-        let mut store = Store::new(carries, seconds(4));
+fn the_limit_converges_to_the_capacity_of_the_store() {
+    for capacity in [1.0, 2.0, 4.0, 8.0, 16.0] {
+        let mut store = Store::new(capacity, seconds(4));
         store.run(seconds(240), RUNNERS);
         let limit = store.link.limit() as f64;
         assert!(
-            (carries..=carries * 1.5 + 1.0).contains(&limit),
-            "{limit} loads at a store that carries {carries}"
+            (capacity..=capacity * 1.5 + 1.0).contains(&limit),
+            "{limit} loads at a store with a capacity of {capacity}"
         );
     }
 }
 
 #[test]
-fn a_store_that_carries_many_loads_is_found_in_some_rounds() {
+fn slow_start_reaches_a_large_capacity_in_a_few_rounds() {
     let mut store = Store::new(148.0, seconds(3));
     store.run(seconds(27), RUNNERS);
     assert!(store.link.limit() >= 100, "{}", store.link.limit());
@@ -122,41 +123,41 @@
     assert!(store.link.limit() >= 20, "{}", store.link.limit());
 }
 
-/// Seen on a played day: one load that was seen late ended the slow start at 2.9 loads, where the store
-/// carries 25.
+/// A single load that was detected late ended the slow start at 2.9 loads, although the store had a
+/// capacity of 25.
 #[test]
-fn one_load_that_is_late_by_itself_lowers_nothing() {
+fn a_single_late_load_does_not_lower_the_limit() {
     let now = Timestamp(1_000);
     let mut link = StoreLink::new(now);
     let runners: Vec<RunnerId> = (0..3).map(Store::runner).collect();
     for runner in &runners {
-        link.begun(runner, seconds(1), now);
+        link.load_started(runner, seconds(1), now);
     }
     link.set_in_flight(3, now);
-    link.ended(&runners[0], now + seconds(1));
-    link.ended(&runners[1], now + seconds(3));
-    link.ended(&runners[2], now + seconds(1));
+    link.load_finished(&runners[0], now + seconds(1));
+    link.load_finished(&runners[1], now + seconds(3));
+    link.load_finished(&runners[2], now + seconds(1));
     assert!(link.limit() >= 3, "{}", link.limit());
 }
 
-/// A runner that hangs would otherwise hold the bound at one load for as long as it is listed.
+/// A hanging runner must not keep the limit at one load for as long as it is listed.
 #[test]
-fn one_load_that_never_ends_lowers_nothing() {
+fn a_single_stuck_load_does_not_lower_the_limit() {
     let mut store = Store::new(8.0, seconds(2));
     store
         .link
-        .begun(&RunnerId::new("hangs"), seconds(2), store.now);
+        .load_started(&RunnerId::new("hangs"), seconds(2), store.now);
     store.run(seconds(60), 6);
     assert!(store.link.limit() >= 6, "{}", store.link.limit());
 }
 
 #[test]
-fn overdue_loads_lower_the_bound_before_any_has_ended() {
+fn overdue_loads_lower_the_limit_before_any_has_finished() {
     let now = Timestamp(1_000);
     let mut link = StoreLink::new(now);
     link.inherit(12, true);
     for index in 0..12 {
-        link.begun(&Store::runner(index), seconds(4), now);
+        link.load_started(&Store::runner(index), seconds(4), now);
     }
     link.set_in_flight(12, now);
     let later = now + seconds(9);
@@ -165,24 +166,24 @@
 }
 
 #[test]
-fn a_successor_goes_on_with_the_bound_that_was_found() {
+fn a_successor_inherits_the_limit() {
     let mut store = Store::new(4.0, seconds(6));
     store.run(seconds(120), RUNNERS);
     let found = store.link.limit();
     let mut successor = StoreLink::new(store.now);
-    successor.inherit(found, store.link.was_full());
+    successor.inherit(found, store.link.was_saturated());
     assert_eq!(successor.limit(), found);
-    assert!(successor.was_full());
+    assert!(successor.was_saturated());
 }
 
 #[test]
-fn a_load_beside_too_many_others_is_expected_late() {
+fn a_load_on_a_saturated_link_is_expected_to_take_longer() {
     let mut link = StoreLink::new(Timestamp(0));
     link.inherit(4, true);
     link.set_in_flight(8, Timestamp(0));
-    assert_eq!(link.expected(seconds(6)), seconds(12));
+    assert_eq!(link.expected_load_time(seconds(6)), seconds(12));
     link.set_in_flight(3, Timestamp(0));
-    assert_eq!(link.expected(seconds(6)), seconds(6));
+    assert_eq!(link.expected_load_time(seconds(6)), seconds(6));
 }
 
 proptest! {
@@ -193,35 +194,36 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever the store carries, however long loads take, and when it turns slow and fast again: the bound
-    /// follows, and the store is kept busy.
+    /// For any capacity of the store, duration of loads and change of capacity, the limit follows
+    /// and the store is kept busy.
     #[test]
-    fn the_bound_follows_a_store_that_changes(
+    fn the_limit_follows_changes_of_the_capacity(
         first in 1_u32..40,
         second in 1_u32..40,
-        promised_ms in 1_000_u64..7_000,
+        nominal_ms in 1_000_u64..7_000,
     ) {
-        let promised = Duration::from_millis(promised_ms);
-        let mut store = Store::new(f64::from(first), promised);
-        for carries in [first, second, first] {
-            store.carries = f64::from(carries);
-            store.run(promised * 60, RUNNERS);
+        let nominal = Duration::from_millis(nominal_ms);
+        let mut store = Store::new(f64::from(first), nominal);
+        for capacity in [first, second, first] {
+            store.capacity = f64::from(capacity);
+            store.run(nominal * 60, RUNNERS);
             let limit = store.link.limit() as f64;
-            let carries = f64::from(carries);
-            prop_assert!(limit <= carries * 2.0 + 2.0, "{limit} loads at a store for {carries}");
+            let capacity = f64::from(capacity);
+            prop_assert!(limit <= capacity * 2.0 + 2.0, "{limit} loads at a store with a capacity of {capacity}");
             store.done = 0;
-            store.run(promised * 10, RUNNERS);
+            store.run(nominal * 10, RUNNERS);
             prop_assert!(
-                store.done as f64 >= carries * 10.0 * 0.6,
-                "{} loads in ten rounds of a store for {carries}", store.done
+                store.done as f64 >= capacity * 10.0 * 0.6,
+                "{} loads in ten rounds of a store with a capacity of {capacity}", store.done
             );
         }
     }
 }
 
-/// A coordinator tells what it has found in its messages; a successor that has heard it begins there.
+/// A coordinator announces its limit in its messages; a successor that has received it starts
+/// there.
 #[test]
-fn the_next_coordinator_takes_the_bound_over_by_message() {
+fn the_next_coordinator_inherits_the_limit_by_message() {
     let now = Timestamp(1_000);
     let limits = vec![StoreLimit {
         service: ServiceName::new("pool"),
