--- a/crates/ingress/src/access.rs
+++ b/crates/ingress/src/access.rs
@@ -8,7 +8,7 @@
 use flaxward_routing::configuration::{Configuration, Route};
 use flaxward_routing::names::TenantName;
 use flaxward_routing::quota::QuotaQuestion;
-use flaxward_routing::quota::meter::{Basis, Verdict};
+use flaxward_routing::quota::meter::{QuotaDecision, RefusalBasis};
 use flaxward_routing::request::RequestProfile;
 use flaxward_routing::tenants::Tenant;
 use flaxward_types::ResultCode;
@@ -39,7 +39,7 @@
         return Ok(None);
     }
     let key = shared.surface.key(headers);
-    let holder = key.and_then(|key| configuration.tenants().holder(&key));
+    let holder = key.and_then(|key| configuration.tenants().find_by_key(&key));
     let trust = shared.settings.key_trust;
     let is_trusted = match (holder, key) {
         (Some(_), _) => shared.is_configuration_within(trust.known),
@@ -60,7 +60,7 @@
     headers: &HeaderMap,
 ) -> Option<Arc<Tenant>> {
     let key = shared.surface.key(headers)?;
-    configuration.tenants().holder(&key).cloned()
+    configuration.tenants().find_by_key(&key).cloned()
 }
 
 fn denied(
@@ -111,10 +111,7 @@
     /// Gives it back, because the request has surely not run.
     pub(crate) fn give_back(self, shared: &Shared) {
         let now = shared.now();
-        shared
-            .tables()
-            .quota
-            .give_back(&self.tenant, self.cost, now);
+        shared.tables().quota.refund(&self.tenant, self.cost, now);
         self.record("returned");
     }
 }
@@ -140,18 +137,20 @@
         cost,
     };
     let verdict = match admit(shared, tenant, cost) {
-        Verdict::Ask(keeper) => ask(shared, &charge, route.priority, keeper).await,
+        QuotaDecision::Ask(keeper) => ask(shared, &charge, route.priority, keeper).await,
         decided => decided,
     };
-    let Verdict::Refused { retry_after, basis } = verdict else {
+    let QuotaDecision::Refused { retry_after, basis } = verdict else {
         charge.record("admitted");
         return Ok(charge);
     };
     charge.record("refused");
     let basis = match basis {
-        Basis::Keeper => "by the keeper".to_owned(),
-        Basis::KeeperBefore { admit } => format!("no answer, {admit} of 1000 are admitted"),
-        Basis::OwnShare => "no keeper is heard, and the own share is used up".to_owned(),
+        RefusalBasis::Keeper => "by the keeper".to_owned(),
+        RefusalBasis::LastAnnouncedShare { admit } => {
+            format!("no answer, {admit} of 1000 are admitted")
+        }
+        RefusalBasis::LocalShare => "no keeper is heard, and the own share is used up".to_owned(),
     };
     let reason = format!("quota of {}: {cost} refused, {basis}", tenant.name);
     let refusal = Refusal::new(ResultCode::QuotaExceeded).with_retry_after(retry_after);
@@ -159,7 +158,7 @@
 }
 
 /// What this daemon decides by itself.
-fn admit(shared: &Shared, tenant: &Tenant, cost: u32) -> Verdict {
+fn admit(shared: &Shared, tenant: &Tenant, cost: u32) -> QuotaDecision {
     let now = shared.now();
     let mut tables = shared.tables();
     let verdict = tables.quota.admit(tenant, cost, rand::random(), now);
@@ -172,7 +171,7 @@
 }
 
 /// What the keeper decides, or else this daemon by what the keeper has told before.
-async fn ask(shared: &Shared, charge: &Charge, rank: u8, keeper: SocketAddr) -> Verdict {
+async fn ask(shared: &Shared, charge: &Charge, rank: u8, keeper: SocketAddr) -> QuotaDecision {
     let question = shared.quota_questions.ask(keeper, |number| QuotaQuestion {
         number,
         tenant: charge.tenant.clone(),
@@ -185,7 +184,7 @@
     let now = shared.now();
     let mut tables = shared.tables();
     match answer {
-        Ok(Some(grant)) => tables.quota.answered(tenant, cost, keeper, grant),
-        Ok(None) | Err(_) => tables.quota.unanswered(tenant, cost, rand::random(), now),
+        Ok(Some(grant)) => tables.quota.on_answer(tenant, cost, keeper, grant),
+        Ok(None) | Err(_) => tables.quota.on_timeout(tenant, cost, rand::random(), now),
     }
 }
--- a/crates/ingress/src/coordination/crashes.rs
+++ b/crates/ingress/src/coordination/crashes.rs
@@ -43,7 +43,7 @@
 
     fn report_runs(&mut self, keepers: &[SocketAddr], now: Timestamp) {
         for report in self.shared.take_run_reports() {
-            self.quarantine.seen(report, now);
+            self.quarantine.queue_report(report, now);
         }
         let reports = self.quarantine.due_reports(!keepers.is_empty(), now);
         if !reports.is_empty() {
--- a/crates/ingress/src/coordination/leading.rs
+++ b/crates/ingress/src/coordination/leading.rs
@@ -178,7 +178,7 @@
             .iter()
             .map(|runner| Runner {
                 draining: runner.draining
-                    || notices.leaves(&runner.id)
+                    || notices.is_leaving(&runner.id)
                     || evacuations.includes(runner),
                 ..runner.clone()
             })
--- a/crates/ingress/src/coordination/mod.rs
+++ b/crates/ingress/src/coordination/mod.rs
@@ -20,14 +20,14 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use flaxward_routing::arrivals::Arrivals;
+use flaxward_routing::arrivals::ArrivalBound;
 use flaxward_routing::lease::{LeaseAnswer, LeaseMachine};
 use flaxward_routing::messages::{Message, StoreNews};
 use flaxward_routing::names::RunnerId;
 use flaxward_routing::next_hop::{self, Received};
 use flaxward_routing::placement::{Order, OrderAnswer};
 use flaxward_routing::quarantine::exchange::QuarantineExchange;
-use flaxward_routing::quota::announcer::Speaker;
+use flaxward_routing::quota::announcer::AnnouncerRole;
 use flaxward_types::ResultCode;
 use flaxward_types::time::Timestamp;
 use tokio::sync::mpsc;
@@ -73,7 +73,7 @@
     quotas: Quotas,
     quarantine: QuarantineExchange,
     configurations: Configurations,
-    arrivals: Arrivals,
+    arrivals: ArrivalBound,
     /// When the coordinator was last heard, in whatever way.
     coordinator_heard_at: Timestamp,
     /// Through which daemon it is heard, if not directly.
@@ -112,7 +112,7 @@
             quotas: Quotas::new(address, now),
             quarantine: QuarantineExchange::new(address),
             configurations: Configurations::default(),
-            arrivals: Arrivals::new(now),
+            arrivals: ArrivalBound::new(now),
             coordinator_heard_at: now,
             coordinator_through: None,
             holdings_version: 0,
@@ -137,7 +137,7 @@
         loop {
             let now = self.shared.now();
             let peers = &self.peers;
-            self.arrivals.looks(now, || peers.is_empty());
+            self.arrivals.on_poll(now, || peers.is_empty());
             let wake_at = self.shared.clock.instant(self.next_wake(now));
             let shared = self.shared.clone();
             tokio::select! {
@@ -268,7 +268,7 @@
     /// Takes in a message for this daemon, or passes one on.
     fn take_datagram(&mut self, received: Received) {
         let now = self.shared.now();
-        let came_after = self.arrivals.came_after();
+        let came_after = self.arrivals.earliest_arrival();
         match received {
             Received::PassOn(forwarded) => self.peers.pass_on(forwarded, now.since(came_after)),
             Received::Arrival(arrival) => {
@@ -326,12 +326,20 @@
             let news = self
                 .quotas
                 .news(&leading.standby_addresses(now), daemons, now);
-            (Speaker::Coordinator, leading.member_addresses(now), news)
+            (
+                AnnouncerRole::Coordinator,
+                leading.member_addresses(now),
+                news,
+            )
         } else {
             let Some(news) = self.quotas.deputy_news(daemons, now) else {
                 return;
             };
-            (Speaker::Deputy, self.following.members().to_vec(), news)
+            (
+                AnnouncerRole::Deputy,
+                self.following.members().to_vec(),
+                news,
+            )
         };
         if !self.quotas.is_news_due(speaker, &news, now) {
             return;
--- a/crates/ingress/src/coordination/notices.rs
+++ b/crates/ingress/src/coordination/notices.rs
@@ -5,7 +5,7 @@
 
 use flaxward_routing::messages::Message;
 use flaxward_routing::names::RunnerId;
-use flaxward_routing::notices::{Heard, RunnerNotices, SharedNotice};
+use flaxward_routing::notices::{NoticeUpdate, RunnerNotices, SharedNotice};
 use flaxward_types::time::Timestamp;
 
 use super::Coordination;
@@ -40,9 +40,9 @@
         let mut outdated = BTreeSet::new();
         for notice in &told.notices {
             match self.shared.heard_shared_notice(notice, came_after) {
-                Heard::News => news.insert(notice.runner.clone()),
-                Heard::Outdated => outdated.insert(notice.runner.clone()),
-                Heard::Known => false,
+                NoticeUpdate::Changed => news.insert(notice.runner.clone()),
+                NoticeUpdate::SenderOutdated => outdated.insert(notice.runner.clone()),
+                NoticeUpdate::Unchanged => false,
             };
         }
         if self.leading.is_none() {
--- a/crates/ingress/src/coordination/permits.rs
+++ b/crates/ingress/src/coordination/permits.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use flaxward_routing::messages::Message;
-use flaxward_routing::permits::keeper::{Asked, ColdSpell, PermitKeeper};
+use flaxward_routing::permits::keeper::{ColdPeriod, PermitKeeper, PermitRequest};
 use flaxward_routing::permits::{
     PermitAnswer, PermitAnswers, PermitDecision, PermitQuestion, PermitQuestions,
 };
@@ -87,18 +87,21 @@
         .runners
         .get(&question.runner)
         .map(|runner| runner.service.clone());
-    let begun_at = tables.spells.begun_at(&question.runner, now);
+    let begun_at = tables.spells.started_at(&question.runner, now);
     let rate_limit = tables.notices.rate_limit(&question.runner);
-    let has_named_rate = tables.notices.has_named_rate(&question.runner);
+    let has_named_rate = tables.notices.has_reported_rate(&question.runner);
     drop(tables);
     let bound = service.and_then(|service| shared.cold_bound(&service));
     if bound.is_none() && !has_named_rate {
         return PermitKeeper::unknown_runner();
     }
-    let asked = Asked {
+    let asked = PermitRequest {
         runner: &question.runner,
         rank: question.rank,
-        cold: bound.map(|bound| ColdSpell { bound, begun_at }),
+        cold: bound.map(|bound| ColdPeriod {
+            bound,
+            started_at: begun_at,
+        }),
         rate_limit,
     };
     keeper.ask(&asked, now)
--- a/crates/ingress/src/coordination/quotas.rs
+++ b/crates/ingress/src/coordination/quotas.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use flaxward_routing::messages::Message;
-use flaxward_routing::quota::announcer::{Announcer, DEPUTIES, Speaker};
+use flaxward_routing::quota::announcer::{Announcer, AnnouncerRole, DEPUTIES};
 use flaxward_routing::quota::keeper::QuotaKeeper;
 use flaxward_routing::quota::{
     QuotaAnswer, QuotaAnswers, QuotaNews, QuotaQuestion, QuotaQuestions, TenantLimit, UseReport,
@@ -39,13 +39,13 @@
     /// Takes in what a keeper tells.
     pub fn heard_news(&mut self, shared: &Shared, news: &QuotaNews) {
         let now = shared.now();
-        self.announcer.heard(news, now);
-        shared.tables().quota.heard(news, now);
+        self.announcer.observe(news, now);
+        shared.tables().quota.apply_announcement(news, now);
     }
 
     /// Takes in what a daemon has admitted.
     pub fn heard_use(&mut self, report: UseReport, now: Timestamp) {
-        self.keeper.heard(report, now);
+        self.keeper.record_report(report, now);
     }
 
     /// The daemons that keep for all what must survive the coordinator: itself first, then its deputies.
@@ -69,7 +69,7 @@
         if let Some(configuration) = shared.configuration() {
             self.keeper.configure(&configuration, now);
         }
-        self.tells_keepers = self.keeper.has_accounts();
+        self.tells_keepers = self.keeper.has_buckets();
         if !self.tells_keepers {
             return;
         }
@@ -81,7 +81,7 @@
             peers.send(*keeper, &Message::UseReport(report.clone()));
         }
         if self.announcer.is_keeper() {
-            self.keeper.heard(report, now);
+            self.keeper.record_report(report, now);
         }
     }
 
@@ -140,7 +140,7 @@
 
     /// What a deputy tells, if it speaks for a coordinator that is silent.
     pub fn deputy_news(&mut self, daemons: u32, now: Timestamp) -> Option<QuotaNews> {
-        if !self.tells_keepers || !self.announcer.speaks_as_deputy(now) {
+        if !self.tells_keepers || !self.announcer.acts_as_deputy(now) {
             self.announcer.stop();
             return None;
         }
@@ -153,14 +153,14 @@
     }
 
     /// Whether all daemons are to be told apart from the coordinator's heartbeats.
-    pub fn is_news_due(&self, speaker: Speaker, news: &QuotaNews, now: Timestamp) -> bool {
+    pub fn is_news_due(&self, speaker: AnnouncerRole, news: &QuotaNews, now: Timestamp) -> bool {
         self.announcer.is_due(speaker, &news.limits, now)
     }
 
     /// Notes that all daemons are told.
     pub fn note_told(&mut self, shared: &Shared, news: &QuotaNews, now: Timestamp) {
-        shared.tables().quota.heard(news, now);
-        if self.announcer.told(&news.limits, now) {
+        shared.tables().quota.apply_announcement(news, now);
+        if self.announcer.record_announced(&news.limits, now) {
             let fields: &[(&str, &dyn Display)] =
                 &[("daemons", &news.daemons), ("limits", &text(&news.limits))];
             shared.log.write(now, "quota-limits", fields);
--- a/crates/ingress/src/crashes.rs
+++ b/crates/ingress/src/crashes.rs
@@ -126,7 +126,7 @@
     /// Takes in what others hold in quarantine; `source` tells who, for the log.
     pub(crate) fn take_quarantine(&self, entries: &[QuarantineEntry], source: &str) {
         let now = self.now();
-        let news = self.tables().quarantine.take_in(entries, now);
+        let news = self.tables().quarantine.merge(entries, now);
         self.note_quarantined(&news, source);
     }
 
--- a/crates/ingress/src/job.rs
+++ b/crates/ingress/src/job.rs
@@ -115,7 +115,7 @@
             return answered;
         }
         if self.is_sending {
-            self.attempts.count(Failure::Silent);
+            self.attempts.record_failure(Failure::Silent);
         }
         self.give_up("the daemon ends")
     }
@@ -181,7 +181,7 @@
                 note_break(&self.shared, &self.request, &runner).await;
             }
             let max_attempts = self.route.max_attempts;
-            if !self.attempts.may_repeat(self.route.kind, max_attempts) {
+            if !self.attempts.may_retry(self.route.kind, max_attempts) {
                 return self.give_up("the request may not be sent again");
             }
         }
@@ -259,7 +259,7 @@
     /// The final answer when no runner that holds the unit has room in time.
     fn no_room(&mut self, refusal: Refusal) -> Result<Response<AnswerBody>, Refused> {
         const REASON: &str = "the runners rest, are cold or name a rate, and have no room in time";
-        if !self.attempts.surely_not_run() {
+        if !self.attempts.definitely_not_run() {
             return self.give_up(REASON);
         }
         Err(self.refused(refusal, REASON))
@@ -271,7 +271,7 @@
             Some(requirement) => format!("{requirement} is not ready in time"),
             None => "not ready in time".to_owned(),
         };
-        if !self.attempts.surely_not_run() {
+        if !self.attempts.definitely_not_run() {
             return self.give_up(&reason);
         }
         Err(self.refused(refusal, &reason))
@@ -301,7 +301,7 @@
             let now = self.shared.now();
             self.shared.tables().health.note_refused(&runner.id, now);
         }
-        self.attempts.count(failed.failure);
+        self.attempts.record_failure(failed.failure);
         self.tried.push(runner.id.clone());
         self.last_failure = Some(failed.failure);
         let fields: &[(&str, &dyn Display)] = &[
@@ -324,9 +324,9 @@
     /// it is full, so that giving up only helps if there is another one.
     fn patience(&self, runner: &Runner) -> Instant {
         let mut next = self.attempts;
-        next.count(Failure::Silent);
+        next.record_failure(Failure::Silent);
         let tried: Vec<RunnerId> = self.tried.iter().chain([&runner.id]).cloned().collect();
-        let may_repeat = next.may_repeat(self.route.kind, self.route.max_attempts);
+        let may_repeat = next.may_retry(self.route.kind, self.route.max_attempts);
         if !may_repeat || self.choose_except(&tried).is_err() {
             return self.request.deadline;
         }
@@ -436,8 +436,8 @@
     /// Whether another runner may be asked after a failure that the runner itself has told.
     fn may_replace_failure(&self) -> bool {
         let mut next = self.attempts;
-        next.count(Failure::Failed);
-        next.may_repeat(self.route.kind, self.route.max_attempts)
+        next.record_failure(Failure::Failed);
+        next.may_retry(self.route.kind, self.route.max_attempts)
     }
 
     fn log_served(&self, runner: &RunnerId, status: u16) {
@@ -462,7 +462,7 @@
     /// after runner, and each crash breaks off all that the runner serves.
     fn quarantined(&mut self, remaining: Duration) -> Result<Response<AnswerBody>, Refused> {
         const REASON: &str = "runners have crashed under the request";
-        if !self.attempts.surely_not_run() {
+        if !self.attempts.definitely_not_run() {
             return self.give_up(REASON);
         }
         let refusal = Refusal::new(ResultCode::RequestQuarantined).with_retry_after(remaining);
@@ -475,7 +475,7 @@
             "no runner of {} takes work in the homes {}",
             self.service, self.request.homes
         );
-        if !self.attempts.surely_not_run() {
+        if !self.attempts.definitely_not_run() {
             return self.give_up(&reason);
         }
         let refusal = Refusal::new(ResultCode::NoHomeRunner).with_retry_after(RETRY_NO_HOME_RUNNER);
@@ -488,7 +488,7 @@
             return Ok(response);
         }
         let is_late = self.request.time_left() < LEAST_TIME;
-        let refusal = if self.attempts.surely_not_run() {
+        let refusal = if self.attempts.definitely_not_run() {
             let code = match self.last_failure {
                 _ if is_late => ResultCode::DeadlineTooShort,
                 None => ResultCode::NoServiceMachine,
--- a/crates/ingress/src/notices.rs
+++ b/crates/ingress/src/notices.rs
@@ -5,7 +5,7 @@
 use std::sync::PoisonError;
 
 use flaxward_routing::names::RunnerId;
-use flaxward_routing::notices::{Heard, RunnerNotice, SharedNotice};
+use flaxward_routing::notices::{NoticeUpdate, RunnerNotice, SharedNotice};
 use flaxward_routing::rate_limit::RequestRate;
 use flaxward_types::time::Timestamp;
 
@@ -16,7 +16,10 @@
     /// Takes in what an answer to a request that was sent at a time says of its runner.
     pub(crate) fn heard_notice(&self, runner: &RunnerId, notice: RunnerNotice, sent_at: Timestamp) {
         let now = self.now();
-        let is_news = self.tables().notices.take_in(runner, notice, sent_at, now);
+        let is_news = self
+            .tables()
+            .notices
+            .apply_answer(runner, notice, sent_at, now);
         if !is_news {
             return;
         }
@@ -36,10 +39,14 @@
     }
 
     /// Takes in what another daemon tells of a runner, in a message that came no earlier than at a time.
-    pub(crate) fn heard_shared_notice(&self, told: &SharedNotice, came_after: Timestamp) -> Heard {
+    pub(crate) fn heard_shared_notice(
+        &self,
+        told: &SharedNotice,
+        came_after: Timestamp,
+    ) -> NoticeUpdate {
         let now = self.now();
-        let heard = self.tables().notices.hear(told, came_after, now);
-        if heard != Heard::News {
+        let heard = self.tables().notices.merge(told, came_after, now);
+        if heard != NoticeUpdate::Changed {
             return heard;
         }
         let rate = told.rate.and_then(|it| it.rate_limit);
--- a/crates/ingress/src/permits.rs
+++ b/crates/ingress/src/permits.rs
@@ -62,7 +62,7 @@
         let tables = self.tables();
         let notices = &tables.notices;
         let wants_nothing =
-            notices.leaves(&runner.id) || notices.rests_until(&runner.id, now).is_some();
+            notices.is_leaving(&runner.id) || notices.rests_until(&runner.id, now).is_some();
         drop(tables);
         if wants_nothing {
             return false;
@@ -143,7 +143,7 @@
     let now = shared.now();
     let tables = shared.tables();
     let is_limited = tables.notices.rate_limit(&runner.id).is_some();
-    let end = tables.spells.end(&runner.id).filter(|_| !is_limited);
+    let end = tables.spells.ends_at(&runner.id).filter(|_| !is_limited);
     drop(tables);
     let room_at = now + room_in;
     let room_at = end.map_or(room_at, |end| room_at.min(end));
--- a/crates/ingress/src/relay.rs
+++ b/crates/ingress/src/relay.rs
@@ -192,8 +192,8 @@
 
     fn may_resume(&self) -> bool {
         let mut next = self.attempts;
-        next.count(Failure::Broken);
-        next.may_repeat(self.route.kind, self.route.max_attempts)
+        next.record_failure(Failure::Broken);
+        next.may_retry(self.route.kind, self.route.max_attempts)
     }
 
     async fn next_piece(&mut self, until: Instant) -> Piece {
@@ -265,7 +265,7 @@
         {
             return self.leave_silent(exchange).await;
         }
-        self.attempts.count(failure);
+        self.attempts.record_failure(failure);
         if has_just_begun && let Some(exchange) = &present {
             note_break(&self.shared, &self.request, &exchange.runner).await;
         }
@@ -281,7 +281,7 @@
                 return Err(self.given_up(RelayError::Expired, "time is up"));
             }
             let max_attempts = self.route.max_attempts;
-            if !self.attempts.may_repeat(self.route.kind, max_attempts) {
+            if !self.attempts.may_retry(self.route.kind, max_attempts) {
                 return Err(self.given_up(RelayError::Broken, "it may not be sent again"));
             }
             if self.is_quarantined() {
@@ -331,7 +331,7 @@
             return Ok(());
         }
         drop(silent);
-        self.attempts.count(Failure::Silent);
+        self.attempts.record_failure(Failure::Silent);
         self.splitter.drop_partial();
         let attempted = match early {
             Ok(attempted) => attempted,
@@ -363,7 +363,7 @@
         if let Some(observation) = failed.observation {
             self.shared.observe(runner, observation);
         }
-        self.attempts.count(failed.failure);
+        self.attempts.record_failure(failed.failure);
         self.tried.push(runner.clone());
     }
 
@@ -389,7 +389,7 @@
                 true
             }
             Ok(_) => {
-                self.attempts.count(Failure::Failed);
+                self.attempts.record_failure(Failure::Failed);
                 self.tried.push(runner.id.clone());
                 false
             }
--- a/crates/ingress/src/spells.rs
+++ b/crates/ingress/src/spells.rs
@@ -3,7 +3,7 @@
 use std::collections::HashSet;
 use std::fmt::Display;
 
-use flaxward_routing::cold::spells::Turn;
+use flaxward_routing::cold::periods::Transition;
 use flaxward_routing::evacuation::Evacuations;
 use flaxward_routing::names::Zone;
 use flaxward_routing::runners::Runner;
@@ -17,7 +17,7 @@
     let Tables {
         runners, spells, ..
     } = &mut *guard;
-    let turns = spells.take_in_all(runners, now);
+    let turns = spells.update_all(runners, now);
     drop(guard);
     log_turns(shared, &turns, "entry");
 }
@@ -44,9 +44,9 @@
         runners, spells, ..
     } = &mut *guard;
     let returned = runners.iter().filter(|it| ended.contains(&it.zone));
-    let turns: Vec<Turn> = returned
+    let turns: Vec<Transition> = returned
         .filter_map(|runner| Some((runner, cold_start(runner)?.duration)))
-        .map(|(runner, duration)| spells.suspect(runner, duration, now))
+        .map(|(runner, duration)| spells.mark_suspected(runner, duration, now))
         .collect();
     drop(guard);
     log_turns(shared, &turns, "evacuation-end");
@@ -64,14 +64,14 @@
 }
 
 /// Writes a line for the runners that have turned cold and one for those that are warm again: a zone comes back at once.
-fn log_turns(shared: &Shared, turns: &[Turn], cause: &str) {
-    let (cold, warm): (Vec<&Turn>, Vec<&Turn>) =
+fn log_turns(shared: &Shared, turns: &[Transition], cause: &str) {
+    let (cold, warm): (Vec<&Transition>, Vec<&Transition>) =
         turns.iter().partition(|turn| turn.cold_for.is_some());
     log_runners(shared, "runners-cold", &cold, cause);
     log_runners(shared, "runners-warm", &warm, cause);
 }
 
-fn log_runners(shared: &Shared, event: &str, turns: &[&Turn], cause: &str) {
+fn log_runners(shared: &Shared, event: &str, turns: &[&Transition], cause: &str) {
     if turns.is_empty() {
         return;
     }
--- a/crates/ingress/src/state.rs
+++ b/crates/ingress/src/state.rs
@@ -10,7 +10,7 @@
 use flaxward_routing::availability::Availability;
 use flaxward_routing::balance::{self, NoRunner, Situation, Wanted};
 use flaxward_routing::budget::RetryBudget;
-use flaxward_routing::cold::spells::Spells;
+use flaxward_routing::cold::periods::ColdPeriods;
 use flaxward_routing::configuration::{Configuration, Route, Service};
 use flaxward_routing::configuration_age::ConfigurationAge;
 use flaxward_routing::evacuation::Evacuations;
@@ -62,7 +62,7 @@
     pub runners: RunnerTable,
     pub runners_known: bool,
     /// Which runners are cold.
-    pub spells: Spells,
+    pub spells: ColdPeriods,
     /// Whom requests for cold runners ask: the coordinator.
     pub permit_keeper: Option<SocketAddr>,
     /// Some pages of the list of runners were read.
@@ -155,7 +155,7 @@
             quota: QuotaMeter::new(seed, ASSUMED_DAEMONS),
             runners: RunnerTable::default(),
             runners_known: false,
-            spells: Spells::default(),
+            spells: ColdPeriods::default(),
             permit_keeper: None,
             has_first_page: false,
             evacuations: Evacuations::default(),
@@ -354,7 +354,7 @@
         let now = self.now();
         let mut tables = self.tables();
         let daemons = tables.daemons;
-        tables.budget.try_repeat(service, now, daemons)
+        tables.budget.try_retry(service, now, daemons)
     }
 
     /// Takes in outlooks of the coordinator.
--- a/crates/routing/src/attempt.rs
+++ b/crates/routing/src/attempt.rs
@@ -1,23 +1,23 @@
-//! What follows from the end of an attempt at a runner.
+//! Retry rules that follow from the end of an attempt at a runner.
 
 use crate::configuration::RouteKind;
 
-/// How an attempt ended without an answer that can be passed on.
+/// How an attempt ended without an answer that can be forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// The runner says that it did not run the request.
+    /// The runner reports that it did not run the request.
     NotRun,
-    /// The runner says that it does not hold the unit, or is another one than expected.
+    /// The runner reports that it does not hold the unit, or is not the expected runner.
     Misdirected,
     /// No byte of the request was sent.
     NotSent,
-    /// No byte of the request was sent, because its permit for a cold runner has ended.
+    /// No byte of the request was sent, because its permit for a cold runner has expired.
     NotPermitted,
-    /// The connection broke, or what came was no answer to this request.
+    /// The connection broke, or the response was not a valid answer to this request.
     Broken,
-    /// The runner says that it has run the request and failed.
+    /// The runner reports that it has run the request and failed.
     Failed,
-    /// Nothing came in the time allowed for one attempt.
+    /// Nothing arrived within the time allowed for one attempt.
     Silent,
 }
 
@@ -40,12 +40,12 @@
     pub sent: u32,
 }
 
-/// Attempts of one request at most, refusals by runners included.
+/// Maximum number of attempts for one request, including those that runners refuse.
 const MAX_SENT: u32 = 4;
 
 impl Attempts {
-    /// Counts an attempt that has failed.
-    pub fn count(&mut self, failure: Failure) {
+    /// Counts a failed attempt.
+    pub fn record_failure(&mut self, failure: Failure) {
         if !matches!(failure, Failure::NotSent | Failure::NotPermitted) {
             self.sent += 1;
         }
@@ -54,17 +54,17 @@
         }
     }
 
-    /// Whether the request may be sent again, as far as the request itself is concerned; the budget
-    /// of all daemons is asked besides.
-    pub fn may_repeat(&self, kind: RouteKind, max_attempts: u32) -> bool {
+    /// Whether the request may be sent again as far as its own attempts are concerned; the retry budget is checked
+    /// separately.
+    pub fn may_retry(&self, kind: RouteKind, max_attempts: u32) -> bool {
         if self.sent >= MAX_SENT {
             return false;
         }
         self.runs == 0 || (kind.may_repeat() && self.runs < max_attempts)
     }
 
-    /// Whether the request surely has not run.
-    pub fn surely_not_run(&self) -> bool {
+    /// Whether the request has certainly not run.
+    pub fn definitely_not_run(&self) -> bool {
         self.runs == 0
     }
 }
--- a/crates/routing/src/availability.rs
+++ b/crates/routing/src/availability.rs
@@ -33,7 +33,7 @@
     /// Whether a runner may get requests. What it has said of itself counts beside the list, which may come late: the store
     /// may not be reached, and the list be told by others.
     fn is_usable(&self, runner: &Runner) -> bool {
-        let leaves = runner.draining || self.notices.leaves(&runner.id);
+        let leaves = runner.draining || self.notices.is_leaving(&runner.id);
         !leaves && !self.evacuations.includes(runner)
     }
 
--- a/crates/routing/src/balance.rs
+++ b/crates/routing/src/balance.rs
@@ -20,7 +20,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::availability::Availability;
-use crate::cold::spells::Spells;
+use crate::cold::periods::ColdPeriods;
 use crate::health::HealthTable;
 use crate::homes::Homes;
 use crate::locality::Distance;
@@ -55,7 +55,7 @@
     /// The runners, and which of them may get requests.
     pub availability: Availability<'a>,
     /// Which of them are cold.
-    pub spells: &'a Spells,
+    pub spells: &'a ColdPeriods,
     /// Their health.
     pub health: &'a HealthTable,
     /// This daemon's requests at each runner.
--- a/crates/routing/src/budget.rs
+++ b/crates/routing/src/budget.rs
@@ -1,8 +1,8 @@
-//! The budget for sending requests again, shared by all daemons.
+//! The retry budget, shared by all daemons.
 //!
-//! The budget of a service is a share of its requests and a fixed allowance, over any window of some
-//! seconds. Each daemon spends the share that its own requests earn and an equal part of the
-//! allowance, so no message is needed.
+//! The budget of a service is a share of its requests plus a fixed allowance, over a sliding window of some seconds.
+//! Each daemon spends the share that its own requests earn and an equal part of the allowance, so no messages are
+//! needed.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -11,15 +11,15 @@
 
 use crate::names::ServiceName;
 
-/// Part of the budget that is spent at most; the rest covers what daemons count differently.
-const SAFETY: f64 = 0.85;
+/// Share of the budget that may be spent; the rest covers differences between the counts of daemons.
+const SAFETY_FACTOR: f64 = 0.85;
 
-/// The bounds that the operators set.
+/// The limits set by the operators.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudgetSettings {
-    /// Repeats for each request.
+    /// Retries for each request.
     pub ratio: f64,
-    /// Repeats that are always allowed in a window, all daemons together.
+    /// Retries that are always allowed in a window, over all daemons.
     pub allowance: f64,
     /// Length of the window.
     pub window: Duration,
@@ -28,10 +28,10 @@
 #[derive(Debug, Default)]
 struct Window {
     requests: VecDeque<Timestamp>,
-    repeats: VecDeque<Timestamp>,
+    retries: VecDeque<Timestamp>,
 }
 
-/// Counts requests and repeats of one daemon.
+/// Counts the requests and retries of one daemon.
 #[derive(Debug)]
 pub struct RetryBudget {
     settings: RetryBudgetSettings,
@@ -52,24 +52,24 @@
         self.window(service, now).requests.push_back(now);
     }
 
-    /// Spends one repeat, if the share of this daemon among `daemons` allows it.
-    pub fn try_repeat(&mut self, service: &ServiceName, now: Timestamp, daemons: usize) -> bool {
+    /// Spends one retry, if the share of this daemon among `daemons` daemons allows it.
+    pub fn try_retry(&mut self, service: &ServiceName, now: Timestamp, daemons: usize) -> bool {
         let settings = self.settings;
         let window = self.window(service, now);
         let own_allowance = settings.allowance / as_f64(daemons.max(1));
         let earned = settings.ratio * as_f64(window.requests.len());
-        let allowed = SAFETY * (earned + own_allowance);
-        if as_f64(window.repeats.len() + 1) > allowed {
+        let allowed = SAFETY_FACTOR * (earned + own_allowance);
+        if as_f64(window.retries.len() + 1) > allowed {
             return false;
         }
-        window.repeats.push_back(now);
+        window.retries.push_back(now);
         true
     }
 
     fn window(&mut self, service: &ServiceName, now: Timestamp) -> &mut Window {
         let window = self.services.entry(service.clone()).or_default();
         let start = now - self.settings.window;
-        for times in [&mut window.requests, &mut window.repeats] {
+        for times in [&mut window.requests, &mut window.retries] {
             while times.front().is_some_and(|&time| time < start) {
                 times.pop_front();
             }
--- a/crates/routing/src/cold/mod.rs
+++ b/crates/routing/src/cold/mod.rs
@@ -1,22 +1,23 @@
-//! How many requests cold runners get, all daemons together.
+//! Rate limits for cold runners, enforced across all daemons.
 //!
-//! A runner that has just started, or has turned cold later, bears a few requests a second and falls over well above
-//! that. The configuration says how many ([`ColdStart`]), the settings by how much the sum over all daemons may pass
-//! them ([`ColdRunnerSettings`]). A preference for others cannot bound that sum: a daemon sees its own requests only.
+//! A runner that has just started, or has become cold again later, sustains only a few requests per second and fails
+//! well above that. The configuration sets that rate ([`ColdStart`]); the settings define by how much the total over
+//! all daemons may exceed it ([`ColdRunnerSettings`]). Load-balancing preferences cannot bound this total, because each
+//! daemon sees only its own requests.
 //!
-//! So nothing is sent to a runner that a daemon believes to be cold ([`spells`]) without a permit of the keeper, which is
-//! the coordinator while its lease holds ([`crate::permits`]). The lease makes it the only one at any time, so that it may give
-//! all of the bound. A permit is for one request at one runner, and ends [`PERMIT_LIFE`] after it was asked for, by the
-//! asking daemon's clock, which counts suspension: a daemon that was frozen between the answer and its send finds that
-//! the permit has ended.
+//! A daemon therefore sends nothing to a runner that it believes to be cold ([`periods`]) without a permit from the
+//! keeper, which is the coordinator while its lease is valid ([`crate::permits`]). The lease guarantees that there is
+//! at most one keeper at any time, so it can hand out the whole limit. A permit covers one request to one runner and
+//! expires [`PERMIT_LIFE`] after it was requested, measured on the requesting daemon's clock, which includes time spent
+//! suspended: a daemon that was frozen between receiving the permit and sending the request finds the permit expired.
 //!
-//! Two sends in the same second come from permits that were given within [`WINDOW`]. The keeper gives
-//! `rate * rate_factor` in any such window. A coordinator that has just begun gives none for one window, since it does
-//! not know what its predecessor gave. What is left of the bound, the slack, pays for what daemons send before they
-//! have heard that a spell has begun; until [`WORD_TIME`] and a window later the keeper also leaves them
-//! what it could give above the rate itself.
+//! Two requests sent within the same second use permits issued within [`WINDOW`]. The keeper issues `rate *
+//! rate_factor` permits in any such window. A new coordinator issues none for one window, because it does not know
+//! which permits its predecessor issued. The remainder of the limit, the slack, covers requests that daemons send
+//! before they learn that a cold period has started. Until [`PROPAGATION_DELAY`] plus one window has passed, the keeper
+//! also leaves unissued the permits that it could give above the rate itself.
 
-pub mod spells;
+pub mod periods;
 
 use std::time::Duration;
 
@@ -24,32 +25,32 @@
 
 use crate::permits::PERMIT_LIFE;
 
-/// The time over which operators bound what a cold runner gets.
+/// Interval over which operators limit the requests to a cold runner.
 const SECOND: Duration = Duration::from_secs(1);
-/// Time over which the keeper counts permits: two of them given further apart are never used in the same second.
+/// Interval over which the keeper counts permits. Permits issued further apart are never used within the same second.
 pub const WINDOW: Duration = SECOND.saturating_add(PERMIT_LIFE);
-/// Time in which all daemons hear of a spell: one for the watch of the coordinator, its next plan and a message.
-pub const WORD_TIME: Duration = Duration::from_millis(700);
+/// Time until all daemons know of a new cold period: the coordinator's watch, its next plan and one message.
+pub const PROPAGATION_DELAY: Duration = Duration::from_millis(700);
 
-/// What a service's runners bear while they are cold.
+/// What the runners of a service can sustain while they are cold.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ColdStart {
-    /// How long a runner is cold from its start.
+    /// How long a runner is cold after it starts.
     pub duration: Duration,
-    /// Requests a second that a cold runner bears.
+    /// Requests per second that a cold runner can sustain.
     pub requests_per_second: f64,
 }
 
-/// By how much requests of all daemons may pass what a cold runner bears.
+/// By how much the requests of all daemons may exceed the rate of a cold runner.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdRunnerSettings {
-    /// Times its rate.
+    /// Multiple of the rate.
     pub rate_factor: f64,
-    /// Requests beyond that in any second.
+    /// Additional requests in any second.
     pub slack: f64,
 }
 
-/// The bound for one cold runner.
+/// The request limit of one cold runner.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdBound {
     rate: f64,
@@ -57,7 +58,7 @@
 }
 
 impl ColdBound {
-    /// The bound for a cold runner of a service.
+    /// The limit for a cold runner of a service.
     pub fn new(cold_start: ColdStart, settings: ColdRunnerSettings) -> Self {
         Self {
             rate: cold_start.requests_per_second,
@@ -65,25 +66,25 @@
         }
     }
 
-    /// Requests in any second at most, whoever sends them.
-    pub fn requests(&self) -> f64 {
+    /// Maximum number of requests in any second, from all senders.
+    pub fn max_requests(&self) -> f64 {
         self.rate * self.settings.rate_factor + self.settings.slack
     }
 
-    /// Permits in any [`WINDOW`] at most; one at least, so that no runner is shut out.
+    /// Maximum number of permits in any [`WINDOW`]; at least one, so that no runner is excluded entirely.
     pub(crate) fn permits(&self) -> usize {
-        whole(self.rate * self.settings.rate_factor).max(1)
+        floor_to_count(self.rate * self.settings.rate_factor).max(1)
     }
 
-    /// Permits in a [`WINDOW`] above those with which the rate itself is kept up. Messages that travel for different
-    /// times may bring one question more into a window than requests came in it.
-    pub(crate) fn spare(&self) -> usize {
-        let rate = whole((self.rate * WINDOW.as_secs_f64() / SECOND.as_secs_f64()).ceil());
+    /// Permits in a [`WINDOW`] beyond those needed to sustain the rate itself. Varying message delays can move one more
+    /// question into a window than there were requests in it, so one extra permit is subtracted.
+    pub(crate) fn headroom(&self) -> usize {
+        let rate = floor_to_count((self.rate * WINDOW.as_secs_f64() / SECOND.as_secs_f64()).ceil());
         self.permits().saturating_sub(rate + 1)
     }
 }
 
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-fn whole(number: f64) -> usize {
+fn floor_to_count(number: f64) -> usize {
     number.max(0.0) as usize
 }
--- a/crates/routing/src/dissemination.rs
+++ b/crates/routing/src/dissemination.rs
@@ -257,7 +257,7 @@
         now: Timestamp,
     ) -> Vec<Outgoing> {
         self.choose_standbys(placement, header.address, now);
-        self.pacer.fill(now);
+        self.pacer.refill(now);
         let mut members = placement.members(now);
         let names: BTreeSet<&String> = members.iter().map(|(name, _)| name).collect();
         self.progress.retain(|name, _| names.contains(name));
@@ -278,7 +278,7 @@
                 standby: self.standbys.place(&member),
                 ..header.clone()
             };
-            if !self.pacer.has_room() {
+            if !self.pacer.can_send() {
                 let heartbeat = self.bare_heartbeat(&member, own_header, placement, now);
                 messages.extend(heartbeat.map(|direction| Outgoing {
                     member,
@@ -294,7 +294,7 @@
                 continue;
             }
             for direction in self.directions(&member, &own_header, &mut round) {
-                self.pacer.take(&direction);
+                self.pacer.consume(&direction);
                 messages.push(Outgoing {
                     member: member.clone(),
                     address,
@@ -327,22 +327,22 @@
             holdings_version: progress.holdings_version,
             ..header
         };
-        self.pacer.take(&direction);
+        self.pacer.consume(&direction);
         Some(direction)
     }
 
     /// How long a member that has no list of runners is left to read the store's: as long as it would take to tell
     /// everything to all, which is hardly any time in a small fleet.
     fn patience(&self, round: &Round<'_>) -> Duration {
-        let bytes = pacing::bytes_of_everything(round.runners.iter().count());
-        let everything = self.pacer.time_for(bytes * round.addresses.len());
+        let bytes = pacing::full_state_bytes(round.runners.iter().count());
+        let everything = self.pacer.transmission_time(bytes * round.addresses.len());
         everything.min(LONGEST_PATIENCE)
     }
 
     /// Time between two messages to a member that hold the loads of runners.
     fn loads_interval(&self, round: &mut Round<'_>) -> Duration {
-        let bytes = pacing::bytes_of_loads(round.loads().len());
-        let everywhere = self.pacer.time_for(bytes * round.addresses.len());
+        let bytes = pacing::loads_bytes(round.loads().len());
+        let everywhere = self.pacer.transmission_time(bytes * round.addresses.len());
         LOADS_INTERVAL.max(everywhere.div_f64(LOADS_SHARE))
     }
 
--- a/crates/routing/src/fingerprint.rs
+++ b/crates/routing/src/fingerprint.rs
@@ -1,7 +1,7 @@
-//! What makes two tries of a caller the same request.
+//! Identifies retries of the same request.
 //!
-//! A caller that tries again names its try anew and may reach another daemon. What stays the same is what it asks
-//! for: method, host, path with query, body, and the tenant that asks.
+//! A caller that retries gives the retry a new request ID and may reach another daemon. What stays the same is the
+//! content: method, host, path with query, body, and the tenant.
 
 use std::fmt;
 
@@ -11,26 +11,26 @@
 
 use crate::names::TenantName;
 
-/// Bytes of the digest that are kept: enough that nobody finds another request with the same ones.
+/// Number of digest bytes that are kept: enough to make it infeasible to find another request with the same ones.
 const KEPT_BYTES: usize = 16;
 
-/// A digest that is equal for tries of the same request, on every daemon. Stored and sent as text in hex.
+/// A digest that is equal for retries of the same request, on every daemon. Stored and sent as a hexadecimal string.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct RequestFingerprint([u8; KEPT_BYTES]);
 
-/// What is told apart by a fingerprint.
+/// The content that a fingerprint covers.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestContent<'a> {
     /// The method.
     pub method: &'a str,
-    /// The host that the caller named.
+    /// The host in the caller's request.
     pub host: &'a str,
     /// Path and query.
     pub target: &'a str,
     /// The tenant whose key the request carried.
     pub tenant: Option<&'a TenantName>,
-    /// The whole body.
+    /// The complete body.
     pub body: &'a [u8],
 }
 
@@ -40,7 +40,7 @@
         let tenant = content.tenant.map_or("", TenantName::as_str);
         let mut digest = Sha256::new();
         for field in [content.method, content.host, content.target, tenant] {
-            // The length keeps the end of one field from being taken for the beginning of the next.
+            // The length prefix keeps the end of one field from being read as the start of the next.
             digest.update(field.len().to_le_bytes());
             digest.update(field);
         }
@@ -56,9 +56,9 @@
     }
 }
 
-/// A text that is no fingerprint.
+/// A string that is not a fingerprint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("a fingerprint has {} hex digits", 2 * KEPT_BYTES)]
+#[error("a fingerprint must have {} hexadecimal digits", 2 * KEPT_BYTES)]
 pub struct FingerprintError;
 
 impl From<RequestFingerprint> for String {
--- a/crates/routing/src/notices.rs
+++ b/crates/routing/src/notices.rs
@@ -1,4 +1,4 @@
-//! What runners say of themselves in the heads of their answers. It is fresher than any list.
+//! Runner state reported in the response heads of runners. It is more recent than any list.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -10,118 +10,118 @@
 use crate::names::RunnerId;
 use crate::rate_limit::RequestRate;
 
-/// Runners of which something is kept although they are not listed; more than leave in the seconds for which an entry may
-/// be missing.
+/// Maximum number of runners that are tracked although they are not listed. It exceeds the number of runners that leave
+/// during the few seconds for which an entry may be missing.
 const MAX_UNLISTED: usize = 1_024;
 
-/// What the head of one answer says of the runner that gave it.
+/// What one response head says about the runner that sent it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RunnerNotice {
-    /// It leaves, and gets no new work.
+    /// The runner is leaving and gets no new work.
     pub leaves: bool,
-    /// What it takes from all daemons together, for as long as its answers say so.
+    /// The rate limit for all daemons together, in force for as long as the runner's responses include it.
     pub rate_limit: Option<RequestRate>,
-    /// Time for which it wants nothing from the daemon that it has turned away.
+    /// How long the runner wants no work from this daemon, whose request it has rejected.
     pub rest: Option<Duration>,
 }
 
-/// Whether a runner names a rate, and when that was known.
+/// Whether a runner reports a rate, and when that was known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct RateWord {
+struct RateObservation {
     rate: Option<RequestRate>,
-    /// When an answer came that named a rate, or when the request was sent whose answer named none: that runner's head was
-    /// made before the one moment, and after the other. So of two words the later one is the later one at the runner, too,
-    /// though answers overtake one another.
+    /// When a response with a rate arrived, or when the request was sent whose response had none. The runner wrote its
+    /// head before the former moment and after the latter. The later of two observations is therefore also the later
+    /// one at the runner, even if responses overtake one another.
     at: Timestamp,
 }
 
-/// What a daemon knows of one life of a runner by answers.
+/// What a daemon knows about one incarnation of a runner from responses.
 #[derive(Clone, Copy, Debug, Default)]
-struct Known {
+struct RunnerState {
     leaves: bool,
-    rate: Option<RateWord>,
+    rate: Option<RateObservation>,
     rests_until: Option<Timestamp>,
 }
 
-impl Known {
-    /// Takes in a word of a rate. Returns whether the rate has changed by it.
-    fn take_rate(&mut self, word: RateWord) -> bool {
-        if self.rate.is_some_and(|known| known.at > word.at) {
+impl RunnerState {
+    /// Applies an observation of the rate. Returns whether the rate has changed.
+    fn apply_rate(&mut self, observation: RateObservation) -> bool {
+        if self.rate.is_some_and(|known| known.at > observation.at) {
             return false;
         }
-        let before = self.rate.replace(word).and_then(|known| known.rate);
-        before != word.rate
+        let before = self.rate.replace(observation).and_then(|known| known.rate);
+        before != observation.rate
     }
 }
 
-/// What one daemon tells another of a runner.
+/// What one daemon tells another about a runner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SharedNotice {
     /// The runner.
     pub runner: RunnerId,
-    /// It leaves.
+    /// The runner is leaving.
     pub leaves: bool,
-    /// Whether it names a rate; `None` if no answer was heard that tells.
+    /// Whether the runner reports a rate; `None` if no response has shown it.
     pub rate: Option<SharedRate>,
 }
 
-/// What one daemon tells another of the rate that a runner takes.
+/// What one daemon tells another about the rate limit of a runner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SharedRate {
-    /// The rate; `None` if it names none any more.
+    /// The rate; `None` if the runner no longer reports one.
     pub rate_limit: Option<RequestRate>,
-    /// Time since that was known, in ms.
+    /// Age of the observation, in ms.
     pub age_ms: u32,
 }
 
 impl SharedRate {
-    /// The word in a message that came between two moments: a rate counts as of the later, its end as of the earlier one. So
-    /// a message that was held up ends no rate that was named after it.
-    fn word(self, came_after: Timestamp, now: Timestamp) -> RateWord {
-        let came = if self.rate_limit.is_some() {
+    /// The observation in a message that arrived between two moments: a rate is dated from the later one, its end from
+    /// the earlier one. A delayed message therefore does not end a rate that was reported after it.
+    fn observation(self, earliest_arrival: Timestamp, now: Timestamp) -> RateObservation {
+        let arrived_at = if self.rate_limit.is_some() {
             now
         } else {
-            came_after
+            earliest_arrival
         };
-        RateWord {
+        RateObservation {
             rate: self.rate_limit,
-            at: came - Duration::from_millis(u64::from(self.age_ms)),
+            at: arrived_at - Duration::from_millis(u64::from(self.age_ms)),
         }
     }
 }
 
-/// From any daemon to the coordinator, and from that one to all others: what answers have told of runners.
+/// From any daemon to the coordinator, and from the coordinator to all others: runner state observed in responses.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunnerNotices {
-    /// Where the sender listens.
+    /// Address on which the sender listens.
     pub from: SocketAddr,
-    /// What it knows.
+    /// The notices.
     pub notices: Vec<SharedNotice>,
 }
 
-/// What another daemon's word comes to.
+/// The result of merging another daemon's notice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
-    /// It changes what is known.
-    News,
-    /// It does not.
-    Known,
-    /// Something later is known here.
-    Outdated,
+pub enum NoticeUpdate {
+    /// The known state has changed.
+    Changed,
+    /// The known state has not changed.
+    Unchanged,
+    /// The receiver knows something more recent than the sender.
+    SenderOutdated,
 }
 
-/// What a daemon knows of runners by answers, its own and those that others have told it of. Each belongs to one life of a
-/// runner, and ends with it.
+/// What a daemon knows about runners from responses, its own and those that other daemons have reported. Each notice
+/// belongs to one incarnation of a runner and ends with it.
 #[derive(Debug, Default)]
 pub struct Notices {
-    runners: HashMap<RunnerId, Known>,
-    /// Runners that were found to leave.
+    runners: HashMap<RunnerId, RunnerState>,
+    /// Number of runners that were found to be leaving.
     leave_count: u64,
 }
 
 impl Notices {
-    /// Takes in what an answer says to a request that was sent at a time. Returns whether that is news.
-    pub fn take_in(
+    /// Applies what a response says, to a request that was sent at `sent_at`. Returns whether that is new.
+    pub fn apply_answer(
         &mut self,
         runner: &RunnerId,
         notice: RunnerNotice,
@@ -138,17 +138,17 @@
             sent_at
         };
         let rate = notice.rate_limit;
-        let has_changed = known.take_rate(RateWord { rate, at });
+        let has_changed = known.apply_rate(RateObservation { rate, at });
         if let Some(rest) = notice.rest {
             let until = now + rest;
             known.rests_until = Some(known.rests_until.map_or(until, |known| known.max(until)));
         }
-        let begins_to_leave = notice.leaves && self.note_leaving(runner);
-        has_changed || begins_to_leave || notice.rest.is_some()
+        let starts_leaving = notice.leaves && self.mark_leaving(runner);
+        has_changed || starts_leaving || notice.rest.is_some()
     }
 
-    /// Returns whether that is news. No life of a runner stays after all.
-    fn note_leaving(&mut self, runner: &RunnerId) -> bool {
+    /// Returns whether that is new. An incarnation that is leaving never returns to service.
+    fn mark_leaving(&mut self, runner: &RunnerId) -> bool {
         let known = self.runners.entry(runner.clone()).or_default();
         let is_news = !known.leaves;
         known.leaves = true;
@@ -156,32 +156,39 @@
         is_news
     }
 
-    /// Takes in what another daemon tells, in a message that came between two moments.
-    pub fn hear(&mut self, told: &SharedNotice, came_after: Timestamp, now: Timestamp) -> Heard {
-        let begins_to_leave = told.leaves && self.note_leaving(&told.runner);
-        let known = self.runners.entry(told.runner.clone()).or_default();
-        let word = told.rate.map(|rate| rate.word(came_after, now));
-        let knows_later = known.rate.is_some_and(|known| {
-            let is_older = word.is_none_or(|word| word.at < known.at);
-            is_older && word.and_then(|word| word.rate) != known.rate
+    /// Merges a notice of another daemon from a message that arrived between two moments.
+    pub fn merge(
+        &mut self,
+        shared: &SharedNotice,
+        earliest_arrival: Timestamp,
+        now: Timestamp,
+    ) -> NoticeUpdate {
+        let starts_leaving = shared.leaves && self.mark_leaving(&shared.runner);
+        let known = self.runners.entry(shared.runner.clone()).or_default();
+        let observation = shared
+            .rate
+            .map(|rate| rate.observation(earliest_arrival, now));
+        let knows_newer = known.rate.is_some_and(|known| {
+            let is_older = observation.is_none_or(|observation| observation.at < known.at);
+            is_older && observation.and_then(|observation| observation.rate) != known.rate
         });
-        let lacks_leave = known.leaves && !told.leaves;
-        let has_changed = word.is_some_and(|word| known.take_rate(word));
-        if has_changed || begins_to_leave {
-            Heard::News
-        } else if knows_later || lacks_leave {
-            Heard::Outdated
+        let lacks_leaving = known.leaves && !shared.leaves;
+        let has_changed = observation.is_some_and(|observation| known.apply_rate(observation));
+        if has_changed || starts_leaving {
+            NoticeUpdate::Changed
+        } else if knows_newer || lacks_leaving {
+            NoticeUpdate::SenderOutdated
         } else {
-            Heard::Known
+            NoticeUpdate::Unchanged
         }
     }
 
-    /// What other daemons are to be told of a runner; `None` if that is nothing.
+    /// The notice about a runner to send to other daemons; `None` if there is nothing to report.
     pub fn shared(&self, runner: &RunnerId, now: Timestamp) -> Option<SharedNotice> {
         let known = self.runners.get(runner)?;
-        let rate = known.rate.map(|word| SharedRate {
-            rate_limit: word.rate,
-            age_ms: u32::try_from(millis(now.since(word.at))).unwrap_or(u32::MAX),
+        let rate = known.rate.map(|observation| SharedRate {
+            rate_limit: observation.rate,
+            age_ms: u32::try_from(millis(now.since(observation.at))).unwrap_or(u32::MAX),
         });
         (known.leaves || rate.is_some()).then(|| SharedNotice {
             runner: runner.clone(),
@@ -190,56 +197,56 @@
         })
     }
 
-    /// Whether a runner has said that it leaves.
-    pub fn leaves(&self, runner: &RunnerId) -> bool {
+    /// Whether a runner has reported that it is leaving.
+    pub fn is_leaving(&self, runner: &RunnerId) -> bool {
         self.runners.get(runner).is_some_and(|known| known.leaves)
     }
 
-    /// When a runner wants work from this daemon again, if it rests.
+    /// When a resting runner accepts work from this daemon again.
     pub fn rests_until(&self, runner: &RunnerId, now: Timestamp) -> Option<Timestamp> {
         let known = self.runners.get(runner)?;
         known.rests_until.filter(|&until| now < until)
     }
 
-    /// All runners that rest, and until when.
+    /// All resting runners, and until when they rest.
     pub fn resting(&self, now: Timestamp) -> impl Iterator<Item = (&RunnerId, Timestamp)> {
         let runners = self.runners.keys();
         runners.filter_map(move |runner| Some((runner, self.rests_until(runner, now)?)))
     }
 
-    /// All runners that have said that they leave.
+    /// All runners that have reported that they are leaving.
     pub fn leaving(&self) -> impl Iterator<Item = &RunnerId> {
         let runners = self.runners.iter();
         let leaving = runners.filter(|(_, known)| known.leaves);
         leaving.map(|(runner, _)| runner)
     }
 
-    /// How many runners were found to leave until now.
+    /// Total number of runners that were found to be leaving.
     pub fn leave_count(&self) -> u64 {
         self.leave_count
     }
 
-    /// The rate that a runner takes from all daemons together, if it names one.
+    /// The rate limit of a runner for all daemons together, if it reports one.
     pub fn rate_limit(&self, runner: &RunnerId) -> Option<RequestRate> {
         self.runners.get(runner)?.rate?.rate
     }
 
-    /// Whether it is known that a runner has named a rate, now or before.
-    pub fn has_named_rate(&self, runner: &RunnerId) -> bool {
+    /// Whether a runner is known to have reported a rate, now or earlier.
+    pub fn has_reported_rate(&self, runner: &RunnerId) -> bool {
         self.runners
             .get(runner)
             .is_some_and(|known| known.rate.is_some())
     }
 
-    /// All runners that name a rate.
+    /// All runners that report a rate.
     pub fn limited(&self) -> impl Iterator<Item = &RunnerId> {
         let runners = self.runners.iter();
         let limited = runners.filter(|(_, known)| known.rate.is_some_and(|it| it.rate.is_some()));
         limited.map(|(runner, _)| runner)
     }
 
-    /// Forgets runners that are not listed, once there are many: an entry may be missing for a while although its runner
-    /// lives, and what it has said still binds then.
+    /// Removes runners that are not listed, once there are many of them. An entry may be missing for a while although
+    /// its runner is alive, and its notices still apply then.
     pub fn retain(&mut self, is_listed: impl Fn(&RunnerId) -> bool) {
         let unlisted = self.runners.keys().filter(|id| !is_listed(id)).count();
         if unlisted > MAX_UNLISTED {
--- a/crates/routing/src/permits/keeper.rs
+++ b/crates/routing/src/permits/keeper.rs
@@ -1,4 +1,4 @@
-//! The keeper's side: gives permits for requests to runners that are cold or name a rate.
+//! The keeper's side: issues permits for requests to runners that are cold or report a rate limit.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -6,215 +6,217 @@
 use flaxward_types::time::{Timestamp, millis};
 
 use super::PermitDecision;
-use super::account::Account;
-use crate::cold::{ColdBound, WINDOW, WORD_TIME};
+use super::sliding_window::SlidingWindow;
+use crate::cold::{ColdBound, PROPAGATION_DELAY, WINDOW};
 use crate::names::RunnerId;
-use crate::rate_limit::{self, FIRST_PERMITS, RequestRate};
+use crate::rate_limit::{self, RequestRate, STARTUP_PERMITS};
 
-/// Ranks that are told apart; less urgent ones count as the last.
+/// Number of distinct ranks; less urgent ones count as the last.
 const RANKS: u8 = 4;
-/// When to come back if nothing is known of a runner: by then the keeper has heard of it.
-const UNKNOWN_RUNNER_PAUSE: Duration = Duration::from_millis(300);
-/// Time between two looks for runners that nobody asks for any more.
+/// Retry delay if nothing is known of a runner; the keeper has learned of it by then.
+const UNKNOWN_RUNNER_RETRY: Duration = Duration::from_millis(300);
+/// Interval between removals of windows that are no longer in use.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Permits for one cold runner.
 #[derive(Debug)]
-struct ColdAccount {
-    /// When the spell began that the permits are for.
-    spell_begun_at: Timestamp,
-    /// Until when what lies above the rate is left to requests that are sent without a permit.
+struct ColdWindow {
+    /// Start of the cold period that the permits belong to.
+    period_started_at: Timestamp,
+    /// Until then, the permits above the rate are left to requests that are sent without a permit.
     unannounced_until: Timestamp,
-    permits: Account,
+    permits: SlidingWindow,
 }
 
-impl ColdAccount {
-    /// No permits for a spell that begins now, as far as is known.
+impl ColdWindow {
+    /// An empty window for a cold period that starts now, as far as is known.
     fn new(now: Timestamp) -> Self {
         Self {
-            spell_begun_at: now,
-            unannounced_until: now + WORD_TIME + WINDOW,
-            permits: Account::new(WINDOW),
+            period_started_at: now,
+            unannounced_until: now + PROPAGATION_DELAY + WINDOW,
+            permits: SlidingWindow::new(WINDOW),
         }
     }
 
-    /// Takes in that a spell has begun. Daemons that have not heard of it send without permits meanwhile.
-    fn begin_spell(&mut self, begun_at: Timestamp) {
-        if self.spell_begun_at == begun_at {
+    /// Records that a cold period has started. Daemons that do not know of it yet send requests without permits.
+    fn start_period(&mut self, started_at: Timestamp) {
+        if self.period_started_at == started_at {
             return;
         }
-        self.spell_begun_at = begun_at;
-        self.unannounced_until = begun_at + WORD_TIME + WINDOW;
+        self.period_started_at = started_at;
+        self.unannounced_until = started_at + PROPAGATION_DELAY + WINDOW;
     }
 
-    /// Permits in a window up to which a rank is given one. What the bound leaves above the rate is kept for urgent
-    /// ranks, and at the beginning of a spell for none: so no rank is shut out by the others, and none is refused while
-    /// all together stay below the rate.
+    /// Number of permits in a window up to which a rank is given one. The part of the limit above the rate is reserved
+    /// for urgent ranks, and at the start of a cold period withheld from all of them. No rank is starved by the others,
+    /// and none is refused while the total stays below the rate.
     fn allowed(&self, bound: &ColdBound, rank: u8, now: Timestamp) -> usize {
-        let spare = bound.spare();
-        let kept = if now < self.unannounced_until {
-            spare
+        let headroom = bound.headroom();
+        let reserved = if now < self.unannounced_until {
+            headroom
         } else {
-            kept_from(rank, spare)
+            reserved_from(rank, headroom)
         };
-        bound.permits() - kept
+        bound.permits() - reserved
     }
 }
 
-/// What a request needs a permit for.
+/// A request that needs a permit.
 #[derive(Clone, Copy, Debug)]
-pub struct Asked<'a> {
+pub struct PermitRequest<'a> {
     /// The runner.
     pub runner: &'a RunnerId,
     /// Rank of the request; 0 is the most urgent.
     pub rank: u8,
-    /// The bound while the runner is cold.
-    pub cold: Option<ColdSpell>,
-    /// The rate that the runner names.
+    /// The limit while the runner is cold.
+    pub cold: Option<ColdPeriod>,
+    /// The rate limit that the runner reports.
     pub rate_limit: Option<RequestRate>,
 }
 
-/// What bounds requests to a runner while it is cold.
+/// Limit of the requests to a runner while it is cold.
 #[derive(Clone, Copy, Debug)]
-pub struct ColdSpell {
-    /// The bound.
+pub struct ColdPeriod {
+    /// The limit.
     pub bound: ColdBound,
-    /// When the keeper heard that the present spell has begun; a daemon may have heard of it before.
-    pub begun_at: Option<Timestamp>,
+    /// When the keeper learned that the current cold period has started; other daemons may have learned it earlier.
+    pub started_at: Option<Timestamp>,
 }
 
-/// How many permits a request may find given under one bound.
-struct Place<'a> {
-    permits: &'a mut Account,
-    /// Those in a window for its rank.
+/// One limit that applies to a request, with the permits issued under it.
+struct PermitLimit<'a> {
+    permits: &'a mut SlidingWindow,
+    /// Permits in a window for the rank of the request.
     allowed: usize,
-    /// Those in a window for any rank.
-    most: usize,
+    /// Permits in a window for any rank.
+    max: usize,
 }
 
-/// How many of some spare permits are kept from a rank, for more urgent ones.
-fn kept_from(rank: u8, spare: usize) -> usize {
+/// How many of the spare permits are withheld from a rank for more urgent ones.
+fn reserved_from(rank: u8, spare: usize) -> usize {
     spare * usize::from(rank.min(RANKS - 1)) / usize::from(RANKS - 1)
 }
 
-fn refused(room_in: Duration) -> PermitDecision {
-    let room_in_ms = u32::try_from(millis(room_in)).unwrap_or(u32::MAX).max(1);
+fn refused(retry_after: Duration) -> PermitDecision {
+    let room_in_ms = u32::try_from(millis(retry_after))
+        .unwrap_or(u32::MAX)
+        .max(1);
     PermitDecision::Refused { room_in_ms }
 }
 
-impl Place<'_> {
-    /// Returns when there may be room.
+impl PermitLimit<'_> {
+    /// Returns when a permit may become available.
     fn refuse(&mut self, rank: u8, now: Timestamp) -> Timestamp {
-        self.permits.refuse(self.allowed, self.most, rank, now)
+        self.permits.refuse(self.allowed, self.max, rank, now)
     }
 }
 
-/// Gives permits for one term of a coordinator.
+/// Issues permits during one term of a coordinator.
 #[derive(Debug)]
 pub struct PermitKeeper {
-    begun_at: Timestamp,
-    cold: HashMap<RunnerId, ColdAccount>,
-    limited: HashMap<RunnerId, Account>,
-    swept_at: Timestamp,
+    started_at: Timestamp,
+    cold: HashMap<RunnerId, ColdWindow>,
+    limited: HashMap<RunnerId, SlidingWindow>,
+    last_sweep_at: Timestamp,
 }
 
 impl PermitKeeper {
-    /// A keeper that begins now and does not know which permits its predecessor gave.
+    /// A keeper that starts now and does not know which permits its predecessor issued.
     pub fn new(now: Timestamp) -> Self {
         Self {
-            begun_at: now,
+            started_at: now,
             cold: HashMap::new(),
             limited: HashMap::new(),
-            swept_at: now,
+            last_sweep_at: now,
         }
     }
 
-    /// Decides on a request for a runner. What bounds it in two ways gets a permit if both have room.
-    pub fn ask(&mut self, asked: &Asked<'_>, now: Timestamp) -> PermitDecision {
-        let age = now.since(self.begun_at);
-        if asked.cold.is_some() && age < WINDOW {
+    /// Decides on a request to a runner. If two limits apply, both must have room.
+    pub fn ask(&mut self, request: &PermitRequest<'_>, now: Timestamp) -> PermitDecision {
+        let age = now.since(self.started_at);
+        if request.cold.is_some() && age < WINDOW {
             return refused(WINDOW.saturating_sub(age));
         }
         self.sweep(now);
-        let cold = asked
+        let cold = request
             .cold
-            .map(|spell| cold_place(&mut self.cold, asked, &spell, now));
-        let limited = asked
+            .map(|period| cold_limit(&mut self.cold, request, &period, now));
+        let limited = request
             .rate_limit
-            .map(|rate| limited_place(&mut self.limited, asked, rate, age, now));
-        let mut places: Vec<Place<'_>> = cold.into_iter().chain(limited).collect();
-        let full = places
+            .map(|rate| reported_rate_limit(&mut self.limited, request, rate, age, now));
+        let mut limits: Vec<PermitLimit<'_>> = cold.into_iter().chain(limited).collect();
+        let full = limits
             .iter_mut()
-            .filter(|place| !place.permits.has_room(place.allowed));
-        let room_at = full.map(|place| place.refuse(asked.rank, now)).max();
-        if let Some(room_at) = room_at {
-            return refused(room_at.since(now));
+            .filter(|limit| !limit.permits.has_room(limit.allowed));
+        let available_at = full.map(|limit| limit.refuse(request.rank, now)).max();
+        if let Some(available_at) = available_at {
+            return refused(available_at.since(now));
         }
-        for place in places {
-            place.permits.give(now);
+        for limit in limits {
+            limit.permits.issue(now);
         }
         PermitDecision::Given
     }
 
-    /// The answer for a runner of which the keeper knows nothing, or no bound.
+    /// The answer for a runner that the keeper does not know, or that has no limit.
     pub fn unknown_runner() -> PermitDecision {
-        refused(UNKNOWN_RUNNER_PAUSE)
+        refused(UNKNOWN_RUNNER_RETRY)
     }
 
     fn sweep(&mut self, now: Timestamp) {
-        if now.since(self.swept_at) < SWEEP_INTERVAL {
+        if now.since(self.last_sweep_at) < SWEEP_INTERVAL {
             return;
         }
-        self.swept_at = now;
+        self.last_sweep_at = now;
         self.cold
-            .retain(|_, account| is_used(&mut account.permits, now));
+            .retain(|_, window| is_used(&mut window.permits, now));
         self.limited.retain(|_, permits| is_used(permits, now));
     }
 }
 
-fn is_used(permits: &mut Account, now: Timestamp) -> bool {
+fn is_used(permits: &mut SlidingWindow, now: Timestamp) -> bool {
     permits.advance(now);
     !permits.is_empty()
 }
 
-fn cold_place<'a>(
-    accounts: &'a mut HashMap<RunnerId, ColdAccount>,
-    asked: &Asked<'_>,
-    spell: &ColdSpell,
+fn cold_limit<'a>(
+    windows: &'a mut HashMap<RunnerId, ColdWindow>,
+    request: &PermitRequest<'_>,
+    period: &ColdPeriod,
     now: Timestamp,
-) -> Place<'a> {
-    let account = accounts.entry(asked.runner.clone());
-    let account = account.or_insert_with(|| ColdAccount::new(now));
-    let begun_at = spell.begun_at.unwrap_or(account.spell_begun_at);
-    account.begin_spell(begun_at);
-    account.permits.advance(now);
-    Place {
-        allowed: account.allowed(&spell.bound, asked.rank, now),
-        most: spell.bound.permits(),
-        permits: &mut account.permits,
+) -> PermitLimit<'a> {
+    let window = windows.entry(request.runner.clone());
+    let window = window.or_insert_with(|| ColdWindow::new(now));
+    let started_at = period.started_at.unwrap_or(window.period_started_at);
+    window.start_period(started_at);
+    window.permits.advance(now);
+    PermitLimit {
+        allowed: window.allowed(&period.bound, request.rank, now),
+        max: period.bound.permits(),
+        permits: &mut window.permits,
     }
 }
 
-/// `age` is how long the keeper has been one: what its predecessor gave still counts at first.
-fn limited_place<'a>(
-    accounts: &'a mut HashMap<RunnerId, Account>,
-    asked: &Asked<'_>,
+/// `age` is the time since the keeper started; permits issued by its predecessor may still be in use at first.
+fn reported_rate_limit<'a>(
+    windows: &'a mut HashMap<RunnerId, SlidingWindow>,
+    request: &PermitRequest<'_>,
     rate: RequestRate,
     age: Duration,
     now: Timestamp,
-) -> Place<'a> {
-    let account = accounts.entry(asked.runner.clone());
-    let permits = account.or_insert_with(|| Account::new(rate_limit::WINDOW));
+) -> PermitLimit<'a> {
+    let window = windows.entry(request.runner.clone());
+    let permits = window.or_insert_with(|| SlidingWindow::new(rate_limit::WINDOW));
     permits.advance(now);
-    let most = if age < rate_limit::WINDOW {
-        FIRST_PERMITS
+    let max = if age < rate_limit::WINDOW {
+        STARTUP_PERMITS
     } else {
         rate.permits()
     };
-    let kept = kept_from(asked.rank, rate.spare()).min(most - 1);
-    Place {
+    let reserved = reserved_from(request.rank, rate.reserved()).min(max - 1);
+    PermitLimit {
         permits,
-        allowed: most - kept,
-        most,
+        allowed: max - reserved,
+        max,
     }
 }
--- a/crates/routing/src/permits/mod.rs
+++ b/crates/routing/src/permits/mod.rs
@@ -1,12 +1,13 @@
-//! Permits for requests to runners that bear less than all daemons together may send them.
+//! Permits for requests to runners that sustain less than all daemons together may send.
 //!
-//! A daemon sees its own requests only, so what all of them send can't be bounded by a preference of each. A daemon sends
-//! nothing to such a runner without a permit of the keeper ([`keeper`]), which is the coordinator while its lease holds:
-//! the lease makes it the only one at any time. A permit is for one request at one runner, and ends [`PERMIT_LIFE`] after
-//! it was asked for by the asking daemon's clock, which counts suspension.
+//! A daemon sees only its own requests, so the total cannot be bounded by local decisions. A daemon therefore sends
+//! nothing to such a runner without a permit from the keeper ([`keeper`]), which is the coordinator while its lease is
+//! valid; the lease guarantees that there is at most one keeper at any time. A permit covers one request to one runner
+//! and expires [`PERMIT_LIFE`] after it was requested, measured on the requesting daemon's clock, which includes time
+//! spent suspended.
 
-mod account;
 pub mod keeper;
+mod sliding_window;
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,23 +16,24 @@
 
 use crate::names::RunnerId;
 
-/// Time from the question until a permit ends. A question and its answer take some 10 ms in a region and up to 80 ms at
-/// a busy coordinator, a new connection to a runner some 5 ms; a longer life lengthens the time over which the keeper counts.
+/// Time from the question until a permit expires. A question and its answer take about 10 ms within a region and up to
+/// 80 ms with a busy coordinator; a new connection to a runner takes about 5 ms. A longer lifetime would lengthen the
+/// interval over which the keeper counts permits.
 pub const PERMIT_LIFE: Duration = Duration::from_millis(200);
 
-/// From a daemon to the keeper: for which requests it wants permits.
+/// From a daemon to the keeper: requests that need permits.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitQuestions {
-    /// Where the answers go.
+    /// Address to which the answers are sent.
     pub from: SocketAddr,
     /// The requests.
     pub requests: Vec<PermitQuestion>,
 }
 
-/// Whether one request may be sent to a runner that needs permits.
+/// Asks whether one request may be sent to a runner that needs permits.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitQuestion {
-    /// The asking daemon's number of the request.
+    /// Number that the asking daemon has given to the request.
     pub number: u64,
     /// The runner.
     pub runner: RunnerId,
@@ -49,20 +51,20 @@
 /// The keeper's answer for one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitAnswer {
-    /// The asking daemon's number of the request.
+    /// Number that the asking daemon has given to the request.
     pub number: u64,
-    /// What it decided.
+    /// The decision.
     pub decision: PermitDecision,
 }
 
 /// A keeper's decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PermitDecision {
-    /// The request may be sent, within [`PERMIT_LIFE`] of the question.
+    /// The request may be sent within [`PERMIT_LIFE`] of the question.
     Given,
-    /// It may not.
+    /// The request may not be sent.
     Refused {
-        /// Time until it may, if those refused before it are sent first, in ms.
+        /// Time until a permit becomes available, assuming that earlier refused requests are sent first, in ms.
         room_in_ms: u32,
     },
 }
--- a/crates/routing/src/quarantine/exchange.rs
+++ b/crates/routing/src/quarantine/exchange.rs
@@ -1,8 +1,8 @@
-//! What one daemon tells others of runs and quarantine, and when.
+//! Exchange of run reports and quarantine entries between daemons.
 //!
-//! It tells the keepers what it has seen, some times over. Each keeper tells all daemons of a new quarantine at once. What a
-//! lost message leaves out shows in the digest of the next heartbeat, and the two daemons then tell each other all that they
-//! hold.
+//! A daemon sends each of its run reports to the keepers several times. Each keeper announces a new quarantine to all
+//! daemons at once. A lost message shows up as a mismatch with the digest in the next heartbeat, and the two daemons
+//! then exchange all their entries.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,106 +12,106 @@
 
 use super::{Quarantine, QuarantineEntry, RunReport};
 
-/// How often the keepers are sent a report: on a link that loses three messages in a hundred, all of these are lost
-/// once in 37,000 times.
-const REPORTS: u32 = 3;
-/// Time between these.
+/// How many times each report is sent to the keepers. On a link that loses 3 % of the messages, all copies are lost
+/// once in 37,000 reports.
+const SENDS_PER_REPORT: u32 = 3;
+/// Interval between these sends.
 const REPORT_INTERVAL: Duration = Duration::from_millis(200);
-/// Shortest time between two exchanges that one daemon begins.
+/// Minimum interval between two exchanges that one daemon initiates.
 const EXCHANGE_INTERVAL: Duration = Duration::from_millis(300);
-/// Time after which the times in the lease record are old; it is renewed about once a second.
+/// Age at which the remaining times in the lease record are out of date; the record is renewed about once per second.
 const RECORD_INTERVAL: Duration = Duration::from_millis(500);
-/// Reports that wait to be sent at most.
-const MAX_REPORTS: usize = 256;
+/// Maximum number of reports waiting to be sent.
+const MAX_PENDING_REPORTS: usize = 256;
 
-/// What a daemon knows of requests that are or were in quarantine.
+/// The entries that a daemon holds for requests that are or were in quarantine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantineNews {
-    /// Where the daemon listens.
+    /// Address on which the daemon listens.
     pub from: SocketAddr,
-    /// All that it knows.
+    /// All its entries.
     pub entries: Vec<QuarantineEntry>,
-    /// It wants to be told what the receiver holds.
+    /// Asks the receiver to answer with its own entries.
     pub wants_answer: bool,
 }
 
-/// A report that the keepers are being sent.
+/// A report that is being sent to the keepers.
 #[derive(Debug)]
-struct Outgoing {
+struct PendingReport {
     report: RunReport,
-    left: u32,
+    sends_left: u32,
     due: Timestamp,
 }
 
-/// One daemon's side.
+/// The exchange state of one daemon.
 #[derive(Debug)]
 pub struct QuarantineExchange {
-    own: SocketAddr,
-    reports: Vec<Outgoing>,
-    /// Digest of the quarantine that all daemons were told of.
-    told: u64,
-    /// Digest of the quarantine that was last given to the lease, and when.
+    own_address: SocketAddr,
+    reports: Vec<PendingReport>,
+    /// Digest of the quarantine that was last announced to all daemons.
+    announced: u64,
+    /// Digest of the quarantine that was last written to the lease record, and when.
     recorded: Option<(u64, Timestamp)>,
     exchanged_at: Option<Timestamp>,
 }
 
 impl QuarantineExchange {
-    /// A daemon that listens at an address and has nothing to tell.
-    pub fn new(own: SocketAddr) -> Self {
+    /// A daemon that listens on `own_address` and has nothing to send.
+    pub fn new(own_address: SocketAddr) -> Self {
         Self {
-            own,
+            own_address,
             reports: Vec::new(),
-            told: 0,
+            announced: 0,
             recorded: None,
             exchanged_at: None,
         }
     }
 
-    /// This daemon has seen a run of which the keepers must hear.
-    pub fn seen(&mut self, report: RunReport, now: Timestamp) {
-        if self.reports.len() < MAX_REPORTS {
-            self.reports.push(Outgoing {
+    /// Queues a report of a run that this daemon has observed.
+    pub fn queue_report(&mut self, report: RunReport, now: Timestamp) {
+        if self.reports.len() < MAX_PENDING_REPORTS {
+            self.reports.push(PendingReport {
                 report,
-                left: REPORTS,
+                sends_left: SENDS_PER_REPORT,
                 due: now,
             });
         }
     }
 
-    /// When the next report is due, if there is one.
+    /// When the next report is due, if any.
     pub fn next_report(&self) -> Option<Timestamp> {
-        self.reports.iter().map(|outgoing| outgoing.due).min()
+        self.reports.iter().map(|pending| pending.due).min()
     }
 
-    /// The reports that the keepers are to be sent now. While no keeper is known they wait.
+    /// The reports to send to the keepers now. Reports are retained while no keeper is known.
     pub fn due_reports(&mut self, knows_keepers: bool, now: Timestamp) -> Vec<RunReport> {
         let mut reports = Vec::new();
-        for outgoing in self.reports.iter_mut().filter(|it| it.due <= now) {
-            outgoing.due = now + REPORT_INTERVAL;
+        for pending in self.reports.iter_mut().filter(|it| it.due <= now) {
+            pending.due = now + REPORT_INTERVAL;
             if knows_keepers {
-                outgoing.left -= 1;
-                reports.push(outgoing.report.clone());
+                pending.sends_left -= 1;
+                reports.push(pending.report.clone());
             }
         }
-        self.reports.retain(|outgoing| outgoing.left > 0);
+        self.reports.retain(|pending| pending.sends_left > 0);
         reports
     }
 
-    /// What a keeper is to tell all daemons now, if nobody has told it.
+    /// What a keeper must announce to all daemons now, if it has not been announced yet.
     pub fn announcement(
         &mut self,
         quarantine: &Quarantine,
         now: Timestamp,
     ) -> Option<QuarantineNews> {
         let digest = quarantine.digest(now);
-        if digest == self.told {
+        if digest == self.announced {
             return None;
         }
-        self.told = digest;
+        self.announced = digest;
         Some(self.news(quarantine, false, now))
     }
 
-    /// What the lease record is to hold from now on, if that has changed or its times are old.
+    /// The new content of the lease record, if the quarantine has changed or the recorded times are out of date.
     pub fn due_record(
         &mut self,
         quarantine: &Quarantine,
@@ -128,7 +128,8 @@
         Some(quarantine.entries(now))
     }
 
-    /// Compares the quarantine with the digest that a keeper has told. Returns what that one is told if they differ.
+    /// Compares the quarantine with the digest received from a keeper. Returns the message to that keeper if they
+    /// differ.
     pub fn compare(
         &mut self,
         quarantine: &Quarantine,
@@ -136,7 +137,7 @@
         now: Timestamp,
     ) -> Option<QuarantineNews> {
         if quarantine.digest(now) == digest {
-            self.told = digest;
+            self.announced = digest;
             return None;
         }
         let is_due = |at: Timestamp| now.since(at) >= EXCHANGE_INTERVAL;
@@ -147,7 +148,7 @@
         Some(self.news(quarantine, true, now))
     }
 
-    /// The answer to another daemon's news, once they are taken in, if it wants one.
+    /// The answer to another daemon's news, after merging it, if an answer was requested.
     pub fn answer(
         &self,
         quarantine: &Quarantine,
@@ -159,7 +160,7 @@
 
     fn news(&self, quarantine: &Quarantine, wants_answer: bool, now: Timestamp) -> QuarantineNews {
         QuarantineNews {
-            from: self.own,
+            from: self.own_address,
             entries: quarantine.entries(now),
             wants_answer,
         }
--- a/crates/routing/src/quarantine/mod.rs
+++ b/crates/routing/src/quarantine/mod.rs
@@ -1,16 +1,16 @@
-//! Requests that are not sent to runners for a while because runners have crashed under them.
+//! Withholds requests from runners for a while because runners have crashed while processing them.
 //!
-//! A request that crashes its runner is repeated by its caller, at any daemon, and by the daemon itself, at the next
-//! runner. So crashes are counted by what the request asks for ([`RequestFingerprint`]) and not by try, over all
-//! daemons: each tells the keepers which request was at a runner when it crashed, and these tell all daemons which
-//! requests are in quarantine.
+//! A request that crashes its runner is retried by its caller, at any daemon, and by the daemon itself, at the next
+//! runner. Crashes are therefore counted by the content of the request ([`RequestFingerprint`]) instead of by attempt,
+//! and across all daemons: each daemon reports to the keepers which request a runner was processing when it crashed,
+//! and the keepers announce to all daemons which requests are in quarantine.
 //!
-//! The quarantine is a circuit breaker. The first one is short, since an innocent request may have been at three runners
-//! that crashed for another reason, say one that many callers send. After it the request is sent again: if one more
-//! runner crashes, a long quarantine follows; if a run is completed, the request is cleared.
+//! The quarantine works like a circuit breaker. The first one is short, because a harmless request may have been at
+//! three runners that crashed for another reason, for example one that many callers send. When it ends, the request is
+//! sent again: if one more runner crashes, a long quarantine follows; if a run completes, the request is cleared.
 //!
-//! What daemons hold converges: each step of a request has a number, the highest counts, and if there are too many
-//! requests, all daemons keep the same ones.
+//! The state of all daemons converges: each transition of a request has a step number, the highest step wins, and if
+//! there are too many requests, all daemons keep the same ones.
 
 pub mod exchange;
 
@@ -25,83 +25,83 @@
 use crate::fingerprint::RequestFingerprint;
 use crate::names::RunnerId;
 
-/// Requests of which daemons tell each other at most: their list fits one datagram.
+/// Maximum number of entries that daemons exchange: the list fits into one datagram.
 pub const MAX_ENTRIES: usize = 256;
-/// Requests whose crashes are counted at most. A crash involves a few dozen requests.
+/// Maximum number of requests whose crashes are counted. A crash involves a few dozen requests.
 const MAX_SUSPECTS: usize = 1_024;
-/// Time for which crashes are remembered, and the quarantine after its end. Callers repeat a failed request within
-/// minutes.
-const MEMORY: Duration = Duration::from_mins(10);
+/// How long crashes are remembered, and a quarantine after its end. Callers retry a failed request within minutes.
+const RETENTION: Duration = Duration::from_mins(10);
 
 /// When a request is put in quarantine, and for how long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuarantineSettings {
-    /// Runners that must have crashed under it; 0 puts none in quarantine.
+    /// Number of runners that must have crashed during the request; 0 disables quarantine.
     pub crashes: usize,
-    /// How long it stays at first.
+    /// Duration of the first quarantine.
     pub first: Duration,
-    /// How long it stays if one more runner crashes after that.
+    /// Duration of the quarantine if one more runner crashes after the first.
     pub repeated: Duration,
 }
 
 impl Default for QuarantineSettings {
     fn default() -> Self {
         Self {
-            // Two may crash by chance while an innocent request is there and goes on at the next.
+            // Two crashes can coincide with a harmless request that is retried at the next runner.
             crashes: 3,
-            // Runners are back by then, so an innocent request is cleared; one that isn't costs one more runner.
+            // Runners have restarted by then, so a harmless request is cleared; any other costs one more runner.
             first: Duration::from_secs(30),
-            // Long enough for people to look at the runners, short enough that a mended one is found.
+            // Long enough for operators to examine the runners, short enough that a repaired runner is noticed.
             repeated: Duration::from_hours(1),
         }
     }
 }
 
-/// What came of a run.
+/// The outcome of a run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RunOutcome {
-    /// The runner has crashed while the request had just begun there.
+    /// The runner crashed shortly after the request had started there.
     Crashed(RunnerId),
-    /// The runner has answered whole.
+    /// The runner returned a complete answer.
     Completed,
 }
 
-/// A run that says something of whether its request crashes runners.
+/// The outcome of a run that indicates whether its request crashes runners.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunReport {
     /// The request.
     pub fingerprint: RequestFingerprint,
-    /// What came of the run.
+    /// The outcome.
     pub outcome: RunOutcome,
 }
 
-/// What a report has changed.
+/// The effect of a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Recorded {
-    /// Nothing.
+    /// No change.
     Unchanged,
-    /// So many runners have crashed under the request by now.
+    /// The number of distinct runners that have crashed during the request so far.
     Counted(usize),
-    /// The request is in quarantine from now on.
+    /// The request is now in quarantine.
     Quarantined,
-    /// The request crashes no runners.
+    /// The request was found not to crash runners.
     Cleared,
 }
 
-/// A request that is or was in quarantine, as daemons tell each other and the store records it.
+/// A request that is or was in quarantine, as exchanged between daemons and recorded in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantineEntry {
     /// The request.
     pub fingerprint: RequestFingerprint,
-    /// Number of the step that it is at: odd in quarantine and after it, even once it is cleared.
+    /// Step number of the request: odd from the start of a quarantine, including after its end, and even once the
+    /// request is cleared.
     pub step: u32,
-    /// Time until its quarantine ends, in ms; 0 if it is in none.
+    /// Remaining time of the quarantine, in ms; 0 if it is over.
     pub remaining_ms: u32,
-    /// Time until it is forgotten, in ms.
+    /// Time until the entry is removed, in ms.
     pub kept_ms: u32,
 }
 
-/// The runners that have crashed under a request since its last completed run.
+/// The runners that have crashed during a request since its last completed run.
 #[derive(Debug, Default)]
 struct Suspect {
     runners: Vec<RunnerId>,
@@ -109,91 +109,92 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct EntryState {
     step: u32,
     until: Timestamp,
     kept_until: Timestamp,
 }
 
-impl Held {
+impl EntryState {
     fn is_cleared(&self) -> bool {
         self.step.is_multiple_of(2)
     }
 }
 
-/// What one daemon knows of requests that crash runners.
+/// What one daemon knows about requests that crash runners.
 #[derive(Debug)]
 pub struct Quarantine {
     settings: QuarantineSettings,
     suspects: HashMap<RequestFingerprint, Suspect>,
-    held: BTreeMap<RequestFingerprint, Held>,
+    states: BTreeMap<RequestFingerprint, EntryState>,
 }
 
 impl Quarantine {
-    /// Nothing is known of any request.
+    /// A quarantine without entries.
     pub fn new(settings: QuarantineSettings) -> Self {
         Self {
             settings,
             suspects: HashMap::new(),
-            held: BTreeMap::new(),
+            states: BTreeMap::new(),
         }
     }
 
-    /// Whether nothing is known of any request, so that no fingerprint need be looked up.
+    /// Whether nothing is known of any request, so that fingerprints need not be looked up.
     pub fn is_empty(&self) -> bool {
-        self.suspects.is_empty() && self.held.is_empty()
+        self.suspects.is_empty() && self.states.is_empty()
     }
 
-    /// Time until the quarantine of a request ends; `None` if it is in none.
+    /// Remaining time of a request's quarantine; `None` if the request is not in quarantine.
     pub fn remaining(&self, fingerprint: &RequestFingerprint, now: Timestamp) -> Option<Duration> {
-        let held = self.held.get(fingerprint)?;
-        let is_in_force = !held.is_cleared() && now < held.until;
-        is_in_force.then(|| held.until.since(now))
+        let state = self.states.get(fingerprint)?;
+        let is_in_force = !state.is_cleared() && now < state.until;
+        is_in_force.then(|| state.until.since(now))
     }
 
-    /// Takes in what came of a run, here or at another daemon.
+    /// Records the outcome of a run, at this or another daemon.
     pub fn record(&mut self, report: &RunReport, now: Timestamp) -> Recorded {
         if self.settings.crashes == 0 {
             return Recorded::Unchanged;
         }
-        self.forget_old(now);
+        self.remove_expired(now);
         match &report.outcome {
-            RunOutcome::Crashed(runner) => self.crashed(report.fingerprint, runner, now),
-            RunOutcome::Completed => self.completed(report.fingerprint, now),
+            RunOutcome::Crashed(runner) => self.on_crash(report.fingerprint, runner, now),
+            RunOutcome::Completed => self.on_completion(report.fingerprint, now),
         }
     }
 
-    fn crashed(
+    fn on_crash(
         &mut self,
         fingerprint: RequestFingerprint,
         runner: &RunnerId,
         now: Timestamp,
     ) -> Recorded {
-        match self.held.get(&fingerprint).copied() {
-            Some(held) if !held.is_cleared() && now < held.until => Recorded::Unchanged,
-            Some(held) if !held.is_cleared() => {
-                self.put(fingerprint, held.step + 2, self.settings.repeated, now)
+        match self.states.get(&fingerprint).copied() {
+            Some(state) if !state.is_cleared() && now < state.until => Recorded::Unchanged,
+            Some(state) if !state.is_cleared() => {
+                self.start_quarantine(fingerprint, state.step + 2, self.settings.repeated, now)
             }
-            held => {
-                let crashes = self.count(fingerprint, runner, now);
+            state => {
+                let crashes = self.count_crash(fingerprint, runner, now);
                 if crashes.is_none_or(|crashes| crashes < self.settings.crashes) {
                     return crashes.map_or(Recorded::Unchanged, Recorded::Counted);
                 }
                 self.suspects.remove(&fingerprint);
-                let step = held.map_or(0, |held| held.step) + 1;
-                self.put(fingerprint, step, self.settings.first, now)
+                let step = state.map_or(0, |state| state.step) + 1;
+                self.start_quarantine(fingerprint, step, self.settings.first, now)
             }
         }
     }
 
-    /// Counts a crash. Returns how many runners have crashed under the request, or `None` if this one is counted already.
-    fn count(
+    /// Counts a crash. Returns the number of runners that have crashed during the request, or `None` if this runner was
+    /// already counted.
+    fn count_crash(
         &mut self,
         fingerprint: RequestFingerprint,
         runner: &RunnerId,
         now: Timestamp,
     ) -> Option<usize> {
-        self.make_room(fingerprint);
+        self.evict_oldest_suspect(fingerprint);
         let suspect = self.suspects.entry(fingerprint).or_default();
         if suspect.runners.contains(runner) {
             return None;
@@ -203,26 +204,28 @@
         Some(suspect.runners.len())
     }
 
-    fn completed(&mut self, fingerprint: RequestFingerprint, now: Timestamp) -> Recorded {
+    fn on_completion(&mut self, fingerprint: RequestFingerprint, now: Timestamp) -> Recorded {
         let was_suspect = self.suspects.remove(&fingerprint).is_some();
-        let Some(held) = self.held.get(&fingerprint).filter(|it| !it.is_cleared()) else {
+        let Some(state) = self.states.get(&fingerprint).filter(|it| !it.is_cleared()) else {
             return if was_suspect {
                 Recorded::Cleared
             } else {
                 Recorded::Unchanged
             };
         };
-        let cleared = Held {
-            step: held.step + 1,
+        let cleared = EntryState {
+            step: state.step + 1,
             until: now,
-            // It must outlast what others hold in quarantine.
-            kept_until: held.kept_until.max(now + self.settings.repeated + MEMORY),
+            // The cleared entry must outlive the quarantine entries of other daemons.
+            kept_until: state
+                .kept_until
+                .max(now + self.settings.repeated + RETENTION),
         };
-        self.held.insert(fingerprint, cleared);
+        self.states.insert(fingerprint, cleared);
         Recorded::Cleared
     }
 
-    fn put(
+    fn start_quarantine(
         &mut self,
         fingerprint: RequestFingerprint,
         step: u32,
@@ -230,100 +233,100 @@
         now: Timestamp,
     ) -> Recorded {
         let until = now + duration;
-        let held = Held {
+        let state = EntryState {
             step,
             until,
-            kept_until: until + MEMORY,
+            kept_until: until + RETENTION,
         };
-        if self.hold(fingerprint, held) {
+        if self.apply_step(fingerprint, state) {
             Recorded::Quarantined
         } else {
             Recorded::Unchanged
         }
     }
 
-    /// Takes in what another daemon holds. Returns the requests that are in quarantine here only now.
-    pub fn take_in(
+    /// Merges the entries of another daemon. Returns the requests that this puts in quarantine here.
+    pub fn merge(
         &mut self,
         entries: &[QuarantineEntry],
         now: Timestamp,
     ) -> Vec<RequestFingerprint> {
-        self.forget_old(now);
+        self.remove_expired(now);
         let longest = self.settings.first.max(self.settings.repeated);
         let within = |ms: u32, bound: Duration| Duration::from_millis(u64::from(ms)).min(bound);
-        let mut news = Vec::new();
+        let mut quarantined = Vec::new();
         for entry in entries.iter().filter(|entry| entry.kept_ms > 0) {
-            let held = Held {
+            let state = EntryState {
                 step: entry.step,
                 until: now + within(entry.remaining_ms, longest),
-                kept_until: now + within(entry.kept_ms, longest + MEMORY),
+                kept_until: now + within(entry.kept_ms, longest + RETENTION),
             };
-            let was_free = self.remaining(&entry.fingerprint, now).is_none();
-            let is_news = self.hold(entry.fingerprint, held);
-            if is_news {
+            let was_allowed = self.remaining(&entry.fingerprint, now).is_none();
+            let is_newer = self.apply_step(entry.fingerprint, state);
+            if is_newer {
                 self.suspects.remove(&entry.fingerprint);
             }
-            if is_news && was_free && self.remaining(&entry.fingerprint, now).is_some() {
-                news.push(entry.fingerprint);
+            if is_newer && was_allowed && self.remaining(&entry.fingerprint, now).is_some() {
+                quarantined.push(entry.fingerprint);
             }
         }
-        news
+        quarantined
     }
 
-    /// All that other daemons should know.
+    /// The entries to send to other daemons.
     pub fn entries(&self, now: Timestamp) -> Vec<QuarantineEntry> {
         let left = |until: Timestamp| u32::try_from(millis(until.since(now))).unwrap_or(u32::MAX);
-        let known = self.held.iter().filter(|(_, it)| now < it.kept_until);
+        let known = self.states.iter().filter(|(_, it)| now < it.kept_until);
         known
-            .map(|(&fingerprint, held)| QuarantineEntry {
+            .map(|(&fingerprint, state)| QuarantineEntry {
                 fingerprint,
-                step: held.step,
-                remaining_ms: left(held.until),
-                kept_ms: left(held.kept_until),
+                step: state.step,
+                remaining_ms: left(state.until),
+                kept_ms: left(state.kept_until),
             })
             .collect()
     }
 
-    /// A number that is equal for daemons which hold the same; 0 for nothing.
+    /// A digest that is equal on daemons with equal entries; 0 if there are none.
     pub fn digest(&self, now: Timestamp) -> u64 {
         let mut hasher = Xxh3::new();
         let mut is_empty = true;
-        for (fingerprint, held) in self.held.iter().filter(|(_, it)| now < it.kept_until) {
+        for (fingerprint, state) in self.states.iter().filter(|(_, it)| now < it.kept_until) {
             hasher.write(fingerprint.as_bytes());
-            hasher.write_u32(held.step);
+            hasher.write_u32(state.step);
             is_empty = false;
         }
         if is_empty { 0 } else { hasher.finish() }
     }
 
-    /// Takes in a step of a request. Returns whether it is a later one than was known.
-    fn hold(&mut self, fingerprint: RequestFingerprint, held: Held) -> bool {
-        match self.held.get_mut(&fingerprint) {
-            Some(known) if known.step > held.step => return false,
-            Some(known) if known.step == held.step => {
-                known.until = known.until.max(held.until);
-                known.kept_until = known.kept_until.max(held.kept_until);
+    /// Applies a step of a request. Returns whether it is later than the known one.
+    fn apply_step(&mut self, fingerprint: RequestFingerprint, state: EntryState) -> bool {
+        match self.states.get_mut(&fingerprint) {
+            Some(known) if known.step > state.step => return false,
+            Some(known) if known.step == state.step => {
+                known.until = known.until.max(state.until);
+                known.kept_until = known.kept_until.max(state.kept_until);
                 return false;
             }
             Some(_) | None => {}
         }
-        self.held.insert(fingerprint, held);
-        if self.held.len() <= MAX_ENTRIES {
+        self.states.insert(fingerprint, state);
+        if self.states.len() <= MAX_ENTRIES {
             return true;
         }
-        // All daemons drop the same one, whatever the order in which they hear of them.
-        let dropped = self.held.pop_last();
+        // All daemons drop the same entry, regardless of the order in which they receive them.
+        let dropped = self.states.pop_last();
         dropped.is_none_or(|(dropped, _)| dropped != fingerprint)
     }
 
-    fn forget_old(&mut self, now: Timestamp) {
-        self.held.retain(|_, held| now < held.kept_until);
+    fn remove_expired(&mut self, now: Timestamp) {
+        self.states.retain(|_, state| now < state.kept_until);
         self.suspects
-            .retain(|_, suspect| now.since(suspect.last_at) < MEMORY);
+            .retain(|_, suspect| now.since(suspect.last_at) < RETENTION);
     }
 
-    /// Forgets the suspect whose last crash lies back the furthest if there is no room for another.
-    fn make_room(&mut self, fingerprint: RequestFingerprint) {
+    /// Evicts the suspect with the oldest last crash if the table is full.
+    fn evict_oldest_suspect(&mut self, fingerprint: RequestFingerprint) {
         if self.suspects.len() < MAX_SUSPECTS || self.suspects.contains_key(&fingerprint) {
             return;
         }
--- a/crates/routing/src/quota/announcer.rs
+++ b/crates/routing/src/quota/announcer.rs
@@ -1,7 +1,7 @@
-//! When a keeper tells all daemons which tenants are near their limit.
+//! When a keeper announces to all daemons which tenants are near their limit.
 //!
-//! The coordinator tells it with its heartbeats, and at once when a tenant joins or leaves them. While the coordinator
-//! is silent the first deputy does, and after it the next one.
+//! The coordinator includes the list in its heartbeats, and sends it at once when a tenant is added or removed. While
+//! the coordinator is silent, the first deputy takes over, and after it the next one.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,95 +11,100 @@
 use super::{QuotaNews, TenantLimit};
 use crate::names::TenantName;
 
-/// Standbys that keep the quotas beside the coordinator. With two, a coordinator and a standby can be lost at once.
+/// Number of standbys that track the quotas besides the coordinator. With two, the coordinator and one standby can be
+/// lost at the same time.
 pub const DEPUTIES: usize = 2;
-/// Shortest time between two announcements.
-const LEAST_INTERVAL: Duration = Duration::from_millis(80);
-/// Time between two announcements of a deputy without news.
+/// Minimum interval between two announcements.
+const MIN_INTERVAL: Duration = Duration::from_millis(80);
+/// Interval between announcements of a deputy when nothing has changed.
 const DEPUTY_INTERVAL: Duration = Duration::from_millis(500);
-/// Silence of the coordinator after which the first deputy speaks. It tells twice a second.
-const DEPUTY_SILENCE: Duration = Duration::from_millis(700);
-/// How much later each next one does.
-const DEPUTY_TURN: Duration = Duration::from_millis(250);
+/// Silence of the coordinator after which the first deputy takes over. The coordinator announces twice per second.
+const DEPUTY_TAKEOVER_DELAY: Duration = Duration::from_millis(700);
+/// Additional delay for each further deputy.
+const DEPUTY_STAGGER: Duration = Duration::from_millis(250);
 
-/// In which place a daemon speaks.
+/// The role in which a daemon announces limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Speaker {
-    /// It coordinates, and its heartbeats tell the limits too.
+pub enum AnnouncerRole {
+    /// The coordinator, whose heartbeats also carry the limits.
     Coordinator,
-    /// It speaks for a coordinator that is silent.
+    /// A deputy that replaces a silent coordinator.
     Deputy,
 }
 
-/// What one daemon has heard and told of limits.
+/// Announcements that one daemon has received and sent.
 #[derive(Debug)]
 pub struct Announcer {
-    own: SocketAddr,
+    own_address: SocketAddr,
     keepers: Vec<SocketAddr>,
-    heard_at: Timestamp,
-    told: Vec<TenantName>,
-    told_at: Timestamp,
+    observed_at: Timestamp,
+    announced: Vec<TenantName>,
+    announced_at: Timestamp,
 }
 
 impl Announcer {
-    /// A daemon that listens at an address and knows of no keeper.
-    pub fn new(own: SocketAddr, now: Timestamp) -> Self {
+    /// A daemon that listens on `own_address` and knows of no keeper.
+    pub fn new(own_address: SocketAddr, now: Timestamp) -> Self {
         Self {
-            own,
+            own_address,
             keepers: Vec::new(),
-            heard_at: now,
-            told: Vec::new(),
-            told_at: Timestamp::ZERO,
+            observed_at: now,
+            announced: Vec::new(),
+            announced_at: Timestamp::ZERO,
         }
     }
 
-    /// Takes in what a keeper has told.
-    pub fn heard(&mut self, news: &QuotaNews, now: Timestamp) {
-        self.heard_at = now;
+    /// Records an announcement of a keeper.
+    pub fn observe(&mut self, news: &QuotaNews, now: Timestamp) {
+        self.observed_at = now;
         if !news.keepers.is_empty() {
             self.keepers.clone_from(&news.keepers);
         }
     }
 
-    /// Whom this daemon tells what it admits.
+    /// The keepers to which this daemon reports what it admits.
     pub fn keepers(&self) -> &[SocketAddr] {
         &self.keepers
     }
 
-    /// Whether others tell this daemon what they admit.
+    /// Whether other daemons report to this one what they admit.
     pub fn is_keeper(&self) -> bool {
-        self.keepers.contains(&self.own)
+        self.keepers.contains(&self.own_address)
     }
 
-    /// Whether this daemon speaks for a coordinator that is silent.
-    pub fn speaks_as_deputy(&self, now: Timestamp) -> bool {
-        let place = self.keepers.iter().position(|keeper| *keeper == self.own);
-        let Some(place) = place.and_then(|place| u32::try_from(place).ok()) else {
+    /// Whether this daemon announces in place of a silent coordinator.
+    pub fn acts_as_deputy(&self, now: Timestamp) -> bool {
+        let position = self
+            .keepers
+            .iter()
+            .position(|keeper| *keeper == self.own_address);
+        let Some(position) = position.and_then(|position| u32::try_from(position).ok()) else {
             return false;
         };
         // The coordinator is the first of the keepers.
-        let turn = place.saturating_sub(1);
-        now.since(self.heard_at) >= DEPUTY_SILENCE + DEPUTY_TURN * turn
+        let stagger_steps = position.saturating_sub(1);
+        now.since(self.observed_at) >= DEPUTY_TAKEOVER_DELAY + DEPUTY_STAGGER * stagger_steps
     }
 
     /// Whether an announcement is due.
-    pub fn is_due(&self, speaker: Speaker, limits: &[TenantLimit], now: Timestamp) -> bool {
-        let age = now.since(self.told_at);
-        let is_heartbeat_due = speaker == Speaker::Deputy && age >= DEPUTY_INTERVAL;
-        is_heartbeat_due || (age >= LEAST_INTERVAL && !self.told.iter().eq(tenants(limits)))
+    pub fn is_due(&self, role: AnnouncerRole, limits: &[TenantLimit], now: Timestamp) -> bool {
+        let age = now.since(self.announced_at);
+        let is_heartbeat_due = role == AnnouncerRole::Deputy && age >= DEPUTY_INTERVAL;
+        is_heartbeat_due || (age >= MIN_INTERVAL && !self.announced.iter().eq(tenants(limits)))
     }
 
-    /// Notes that all daemons were told. Returns whether other tenants are near their limit than before.
-    pub fn told(&mut self, limits: &[TenantLimit], now: Timestamp) -> bool {
-        let is_news = !self.told.iter().eq(tenants(limits));
-        self.told = tenants(limits).cloned().collect();
-        self.told_at = now;
-        is_news
+    /// Records that the limits were announced to all daemons. Returns whether the set of tenants near their limit has
+    /// changed.
+    pub fn record_announced(&mut self, limits: &[TenantLimit], now: Timestamp) -> bool {
+        let has_changed = !self.announced.iter().eq(tenants(limits));
+        self.announced = tenants(limits).cloned().collect();
+        self.announced_at = now;
+        has_changed
     }
 
-    /// This daemon does not speak any more.
+    /// Stops announcing.
     pub fn stop(&mut self) {
-        self.told.clear();
+        self.announced.clear();
     }
 }
 
--- a/crates/routing/src/quota/meter.rs
+++ b/crates/routing/src/quota/meter.rs
@@ -1,4 +1,4 @@
-//! One daemon's side of the quotas: what it admits, and what it tells of that.
+//! One daemon's side of the quotas: what it admits, and what it reports.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -10,264 +10,271 @@
 use crate::names::TenantName;
 use crate::tenants::{Quota, Tenant};
 
-/// Units asked at all daemons together of which no keeper has heard, at most, in seconds of a tenant's rate. Each
-/// daemon tells when its part of that has come.
+/// Maximum number of requested units, over all daemons, that no keeper has been told of, in seconds of a tenant's rate.
+/// Each daemon reports when its part of that is reached.
 pub const REPORT_SHARE: f64 = 0.35;
-/// Shortest time between two reports.
-const LEAST_REPORT_INTERVAL: Duration = Duration::from_millis(60);
-/// Longest time between two reports: keepers count a daemon that they hear as one that they govern.
+/// Minimum interval between two reports.
+const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(60);
+/// Maximum interval between two reports: keepers count a daemon as governed by them only while it reports.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
-/// Time for which a changed count is told again with each report, in case that one is lost.
-const REPEATED_FOR: Duration = Duration::from_secs(2);
-/// Time without word of a keeper after which a daemon keeps to its own share. Keepers tell twice a second, and a
-/// standby takes the coordinator's place within a second. A tenant whose excess begins as all keepers are lost is
-/// bounded by this and by [`DEEPEST_DEBT`]: at four times its rate, within a tenth of its quota in eight seconds.
-const INFORMED_FOR: Duration = Duration::from_millis(1_050);
-/// Questions in a row without an answer after which a keeper is doubted: one may just be lost.
-const DOUBTED_AFTER: u32 = 2;
-/// Time for which a doubted keeper is not asked, unless it is heard before.
-const KEEPER_DOUBT: Duration = Duration::from_millis(500);
-/// What a daemon without word admits, in equal shares of the rate. Clients are spread unevenly.
-const OWN_SHARES: f64 = 1.1;
-/// Capacity of a daemon's own bucket, in equal shares of the whole one.
-const OWN_CAPACITY: f64 = 0.3;
-/// Debt that a daemon's own bucket may have from what it admits while it hears keepers.
-const DEEPEST_DEBT: Duration = Duration::from_secs(4);
-/// Shortest and longest time after which a refused request may come back.
-const LEAST_RETRY: Duration = Duration::from_millis(500);
-const LONGEST_RETRY: Duration = Duration::from_secs(15);
-/// Thousandths in a whole.
-const WHOLE: u64 = 1_000;
+/// How long a changed count is repeated in each report, in case one is lost.
+const REPEAT_FOR: Duration = Duration::from_secs(2);
+/// Time without an announcement of a keeper after which a daemon falls back to its local share. Keepers announce twice
+/// per second, and a standby replaces the coordinator within a second. A tenant whose excess starts just as all keepers
+/// are lost is bounded by this and by [`MAX_DEBT`]: at four times its rate, it exceeds its quota by at most a tenth
+/// over eight seconds.
+const KEEPER_TIMEOUT: Duration = Duration::from_millis(1_050);
+/// Consecutive unanswered questions after which a keeper is suspected to have failed; a single one may just be lost.
+const SUSPECT_AFTER: u32 = 2;
+/// How long a suspected keeper is not asked, unless it announces earlier.
+const SUSPECT_DURATION: Duration = Duration::from_millis(500);
+/// What a daemon admits without a keeper, as a multiple of an equal share of the rate. Clients are spread unevenly.
+const LOCAL_RATE_FACTOR: f64 = 1.1;
+/// Capacity of a daemon's local bucket, as a multiple of an equal share of the whole one.
+const LOCAL_CAPACITY_FACTOR: f64 = 0.3;
+/// Maximum debt of a daemon's local bucket from what it admits while it hears keepers.
+const MAX_DEBT: Duration = Duration::from_secs(4);
+/// Bounds of the retry delay for refused requests.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(500);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(15);
+/// Number of thousandths in one.
+const THOUSANDTHS: u64 = 1_000;
 
-/// Whether a request falls within its tenant's quota.
+/// The decision on whether a request is within its tenant's quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    /// It does.
+pub enum QuotaDecision {
+    /// The request is admitted.
     Admitted,
-    /// It does not.
+    /// The request is refused.
     Refused {
-        /// When to come back.
+        /// When the caller should retry.
         retry_after: Duration,
-        /// By whose word.
-        basis: Basis,
+        /// What the refusal is based on.
+        basis: RefusalBasis,
     },
-    /// The keeper at this address is to be asked.
+    /// The keeper at this address must be asked.
     Ask(SocketAddr),
 }
 
-/// What a refusal rests on.
+/// What a refusal is based on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Basis {
+pub enum RefusalBasis {
     /// The keeper's answer.
     Keeper,
-    /// The keeper has not answered, and has said before which part to admit.
-    KeeperBefore {
-        /// Thousandths.
+    /// The share that the keeper last announced, because it has not answered.
+    LastAnnouncedShare {
+        /// The announced share, in thousandths.
         admit: u16,
     },
-    /// No keeper is heard: this daemon's own share is used up.
-    OwnShare,
+    /// The exhausted local share, because no keeper is heard.
+    LocalShare,
 }
 
-/// This daemon's own share of a quota, for times without word. What is admitted by the word of keepers is taken from
-/// it too, so that an excess which began just before the word ceased is made good.
+/// This daemon's local share of a quota, used while no keeper is heard. Requests that keepers admit are charged to it
+/// too, so that an excess that started just before the keepers were lost is compensated.
 #[derive(Clone, Copy, Debug)]
-struct OwnBucket {
-    share: OwnShare,
+struct LocalBucket {
+    share: LocalShare,
     level: f64,
-    filled_at: Timestamp,
+    refilled_at: Timestamp,
 }
 
-impl OwnBucket {
-    fn new(share: OwnShare, now: Timestamp) -> Self {
+impl LocalBucket {
+    fn new(share: LocalShare, now: Timestamp) -> Self {
         Self {
             share,
             level: share.capacity,
-            filled_at: now,
+            refilled_at: now,
         }
     }
 
-    /// Takes in that time has passed, and that the share may be another one.
-    fn fill(&mut self, share: OwnShare, now: Timestamp) {
-        let gained = share.rate * now.since(self.filled_at).as_secs_f64();
+    /// Refills the bucket up to `now`, and applies a changed share.
+    fn refill(&mut self, share: LocalShare, now: Timestamp) {
+        let gained = share.rate * now.since(self.refilled_at).as_secs_f64();
         self.level = (self.level + gained).min(share.capacity);
-        self.filled_at = now;
+        self.refilled_at = now;
         self.share = share;
     }
 
-    /// Takes what was admitted by the word of keepers.
-    fn take(&mut self, cost: u32) {
-        let deepest = -self.share.rate * DEEPEST_DEBT.as_secs_f64();
-        self.level = (self.level - f64::from(cost)).max(deepest);
+    /// Charges a request that was admitted while keepers are heard.
+    fn charge(&mut self, cost: u32) {
+        let min_level = -self.share.rate * MAX_DEBT.as_secs_f64();
+        self.level = (self.level - f64::from(cost)).max(min_level);
     }
 
-    /// Decides on a request. A share may be smaller than one request; then it buys a chance, so that all daemons
-    /// together admit what they all have.
-    fn draw(&mut self, cost: u32, random: u64) -> bool {
+    /// Decides on a request. A share may be smaller than one request; the request is then admitted with a probability,
+    /// so that all daemons together admit the sum of their shares.
+    fn try_consume(&mut self, cost: u32, random: u64) -> bool {
         let cost = f64::from(cost).max(1.0);
         let spent = self.level.clamp(0.0, cost);
         self.level -= spent;
         #[allow(clippy::cast_precision_loss)]
-        let drawn = (random % WHOLE) as f64 / WHOLE as f64;
+        let drawn = (random % THOUSANDTHS) as f64 / THOUSANDTHS as f64;
         drawn < spent / cost
     }
 }
 
-/// What each daemon may admit by itself, in units.
+/// What each daemon may admit on its own, in units.
 #[derive(Clone, Copy, Debug)]
-struct OwnShare {
-    /// A second.
+struct LocalShare {
+    /// Per second.
     rate: f64,
     capacity: f64,
 }
 
-impl OwnShare {
+impl LocalShare {
     #[allow(clippy::cast_precision_loss)]
     fn of(quota: &Quota, daemons: usize) -> Self {
         let daemons = daemons as f64;
         Self {
-            rate: quota.rate * OWN_SHARES / daemons,
-            capacity: capacity(quota) * OWN_CAPACITY / daemons,
+            rate: quota.rate * LOCAL_RATE_FACTOR / daemons,
+            capacity: capacity(quota) * LOCAL_CAPACITY_FACTOR / daemons,
         }
     }
 }
 
-/// What is counted of one tenant.
+/// The counts for one tenant.
 #[derive(Debug, Default)]
-struct Count {
+struct TenantCount {
     admitted: i64,
     asked: u64,
-    /// Units asked since the last report.
+    /// Units requested since the last report.
     unreported: u64,
     changed_at: Timestamp,
-    own: Option<OwnBucket>,
+    local: Option<LocalBucket>,
 }
 
-impl Count {
-    /// Takes what was admitted by the word of keepers from the own share.
-    fn take_own(&mut self, cost: u32) {
-        if let Some(own) = &mut self.own {
-            own.take(cost);
+impl TenantCount {
+    /// Charges a request that was admitted while keepers are heard to the local share.
+    fn charge_local(&mut self, cost: u32) {
+        if let Some(local) = &mut self.local {
+            local.charge(cost);
         }
     }
 }
 
 /// The keeper that is asked.
 #[derive(Clone, Copy, Debug)]
-struct Granter {
+struct ActiveKeeper {
     address: SocketAddr,
-    /// Questions since its last word that it has left without an answer.
+    /// Unanswered questions since its last message.
     unanswered: u32,
     /// It is not asked until then.
-    doubted_until: Timestamp,
+    suspected_until: Timestamp,
 }
 
-/// Counts and admits for one daemon.
+/// Counts and admits the requests of one daemon.
 #[derive(Debug)]
 pub struct QuotaMeter {
     life: u64,
     daemons: usize,
-    counts: HashMap<TenantName, Count>,
+    counts: HashMap<TenantName, TenantCount>,
     limits: HashMap<TenantName, u16>,
-    granter: Option<Granter>,
-    informed_at: Option<Timestamp>,
+    keeper: Option<ActiveKeeper>,
+    keeper_heard_at: Option<Timestamp>,
     reported_at: Timestamp,
     is_report_due: bool,
 }
 
 impl QuotaMeter {
-    /// A daemon that has admitted nothing and shares the quotas with this many, itself included.
+    /// A daemon that has admitted nothing and shares the quotas among `daemons` daemons, itself included.
     pub fn new(life: u64, daemons: usize) -> Self {
         Self {
             life,
             daemons: daemons.max(1),
             counts: HashMap::new(),
             limits: HashMap::new(),
-            granter: None,
-            informed_at: None,
+            keeper: None,
+            keeper_heard_at: None,
             reported_at: Timestamp::ZERO,
             is_report_due: false,
         }
     }
 
-    /// Sets how many daemons share the quotas, as somebody has said who is no keeper.
+    /// Sets the number of daemons that share the quotas, as reported by something other than a keeper.
     pub fn set_daemons(&mut self, daemons: usize) {
         self.daemons = daemons.max(1);
     }
 
-    /// Takes in what a keeper tells.
-    pub fn heard(&mut self, news: &QuotaNews, now: Timestamp) {
+    /// Applies the announcement of a keeper.
+    pub fn apply_announcement(&mut self, news: &QuotaNews, now: Timestamp) {
         self.daemons = usize::try_from(news.daemons).unwrap_or(usize::MAX).max(1);
         let limit = |it: &TenantLimit| (it.tenant.clone(), it.admit);
         self.limits = news.limits.iter().map(limit).collect();
-        self.informed_at = Some(now);
-        self.granter = Some(Granter {
+        self.keeper_heard_at = Some(now);
+        self.keeper = Some(ActiveKeeper {
             address: news.from,
             unanswered: 0,
-            doubted_until: Timestamp::ZERO,
+            suspected_until: Timestamp::ZERO,
         });
     }
 
-    /// Decides on a request of a tenant that counts `cost` units. `random` spreads over all numbers.
-    pub fn admit(&mut self, tenant: &Tenant, cost: u32, random: u64, now: Timestamp) -> Verdict {
+    /// Decides on a request of a tenant that costs `cost` units. `random` is uniformly distributed.
+    pub fn admit(
+        &mut self,
+        tenant: &Tenant,
+        cost: u32,
+        random: u64,
+        now: Timestamp,
+    ) -> QuotaDecision {
         let Some(quota) = tenant.quota.filter(|quota| quota.rate > 0.0) else {
-            return Verdict::Admitted;
+            return QuotaDecision::Admitted;
         };
-        self.note_asked(&tenant.name, &quota, cost, now);
-        if !self.is_informed(now) {
-            return self.admit_by_own_share(&tenant.name, &quota, cost, random);
+        self.record_demand(&tenant.name, &quota, cost, now);
+        if !self.hears_keeper(now) {
+            return self.admit_from_local_share(&tenant.name, &quota, cost, random);
         }
         if !self.limits.contains_key(&tenant.name) {
             return self.admitted(&tenant.name, cost);
         }
-        match self.granter {
-            Some(granter) if now >= granter.doubted_until => Verdict::Ask(granter.address),
-            _ => self.admit_unanswered(&tenant.name, cost, random),
+        match self.keeper {
+            Some(keeper) if now >= keeper.suspected_until => QuotaDecision::Ask(keeper.address),
+            _ => self.admit_announced_share(&tenant.name, cost, random),
         }
     }
 
-    /// Takes in a keeper's answer for a request.
-    pub fn answered(
+    /// Handles a keeper's answer for a request.
+    pub fn on_answer(
         &mut self,
         tenant: &TenantName,
         cost: u32,
         from: SocketAddr,
         grant: Grant,
-    ) -> Verdict {
-        if let Some(granter) = self.granter.as_mut().filter(|it| it.address == from) {
-            granter.unanswered = 0;
+    ) -> QuotaDecision {
+        if let Some(keeper) = self.keeper.as_mut().filter(|it| it.address == from) {
+            keeper.unanswered = 0;
         }
         match grant {
             Grant::Granted => self.admitted(tenant, cost),
             Grant::Refused { room_in_ms } => {
                 let room_in = Duration::from_millis(u64::from(room_in_ms));
-                Verdict::Refused {
-                    retry_after: room_in.clamp(LEAST_RETRY, LONGEST_RETRY),
-                    basis: Basis::Keeper,
+                QuotaDecision::Refused {
+                    retry_after: room_in.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER),
+                    basis: RefusalBasis::Keeper,
                 }
             }
         }
     }
 
-    /// Decides on a request for which a keeper was asked that has not answered.
-    pub fn unanswered(
+    /// Decides on a request for which the keeper has not answered in time.
+    pub fn on_timeout(
         &mut self,
         tenant: &TenantName,
         cost: u32,
         random: u64,
         now: Timestamp,
-    ) -> Verdict {
-        if let Some(granter) = &mut self.granter {
-            granter.unanswered += 1;
-            if granter.unanswered >= DOUBTED_AFTER {
-                granter.doubted_until = now + KEEPER_DOUBT;
+    ) -> QuotaDecision {
+        if let Some(keeper) = &mut self.keeper {
+            keeper.unanswered += 1;
+            if keeper.unanswered >= SUSPECT_AFTER {
+                keeper.suspected_until = now + SUSPECT_DURATION;
             }
         }
-        self.admit_unanswered(tenant, cost, random)
+        self.admit_announced_share(tenant, cost, random)
     }
 
-    /// A request that was admitted has surely not run.
-    pub fn give_back(&mut self, tenant: &TenantName, cost: u32, now: Timestamp) {
+    /// Refunds an admitted request that has certainly not run.
+    pub fn refund(&mut self, tenant: &TenantName, cost: u32, now: Timestamp) {
         if let Some(count) = self.counts.get_mut(tenant) {
             count.admitted -= i64::from(cost);
             count.changed_at = now;
@@ -277,13 +284,13 @@
     /// When the next report is due.
     pub fn report_due_at(&self) -> Timestamp {
         if self.is_report_due {
-            self.reported_at + LEAST_REPORT_INTERVAL
+            self.reported_at + MIN_REPORT_INTERVAL
         } else {
             self.reported_at + REPORT_INTERVAL
         }
     }
 
-    /// What the keepers are told, if that is due.
+    /// The report to the keepers, if it is due.
     pub fn due_report(&mut self, own: SocketAddr, now: Timestamp) -> Option<UseReport> {
         if now < self.report_due_at() {
             return None;
@@ -293,7 +300,7 @@
         let mut uses = Vec::new();
         for (tenant, count) in &mut self.counts {
             count.unreported = 0;
-            if now.since(count.changed_at) < REPEATED_FOR {
+            if now.since(count.changed_at) < REPEAT_FOR {
                 uses.push(TenantUse {
                     tenant: tenant.clone(),
                     admitted: count.admitted,
@@ -309,62 +316,74 @@
         })
     }
 
-    fn is_informed(&self, now: Timestamp) -> bool {
-        self.informed_at
-            .is_some_and(|at| now.since(at) < INFORMED_FOR)
+    fn hears_keeper(&self, now: Timestamp) -> bool {
+        self.keeper_heard_at
+            .is_some_and(|at| now.since(at) < KEEPER_TIMEOUT)
     }
 
     #[allow(clippy::cast_precision_loss)]
-    fn note_asked(&mut self, tenant: &TenantName, quota: &Quota, cost: u32, now: Timestamp) {
+    fn record_demand(&mut self, tenant: &TenantName, quota: &Quota, cost: u32, now: Timestamp) {
         let threshold = quota.rate * REPORT_SHARE / self.daemons as f64;
-        let share = OwnShare::of(quota, self.daemons);
+        let share = LocalShare::of(quota, self.daemons);
         let count = self.counts.entry(tenant.clone()).or_default();
-        let own = count.own.get_or_insert_with(|| OwnBucket::new(share, now));
-        own.fill(share, now);
+        let local = count
+            .local
+            .get_or_insert_with(|| LocalBucket::new(share, now));
+        local.refill(share, now);
         count.asked += u64::from(cost);
         count.unreported += u64::from(cost);
         count.changed_at = now;
         self.is_report_due |= count.unreported as f64 >= threshold;
     }
 
-    fn admitted(&mut self, tenant: &TenantName, cost: u32) -> Verdict {
+    fn admitted(&mut self, tenant: &TenantName, cost: u32) -> QuotaDecision {
         let count = self.counts.entry(tenant.clone()).or_default();
         count.admitted += i64::from(cost);
-        count.take_own(cost);
-        Verdict::Admitted
+        count.charge_local(cost);
+        QuotaDecision::Admitted
     }
 
-    fn admit_unanswered(&mut self, tenant: &TenantName, cost: u32, random: u64) -> Verdict {
+    fn admit_announced_share(
+        &mut self,
+        tenant: &TenantName,
+        cost: u32,
+        random: u64,
+    ) -> QuotaDecision {
         let Some(&admit) = self.limits.get(tenant) else {
             return self.admitted(tenant, cost);
         };
-        if random % WHOLE < u64::from(admit) {
+        if random % THOUSANDTHS < u64::from(admit) {
             return self.admitted(tenant, cost);
         }
-        Verdict::Refused {
-            retry_after: LEAST_RETRY * 2,
-            basis: Basis::KeeperBefore { admit },
+        QuotaDecision::Refused {
+            retry_after: MIN_RETRY_AFTER * 2,
+            basis: RefusalBasis::LastAnnouncedShare { admit },
         }
     }
 
-    fn admit_by_own_share(
+    fn admit_from_local_share(
         &mut self,
         tenant: &TenantName,
         quota: &Quota,
         cost: u32,
         random: u64,
-    ) -> Verdict {
-        let share = OwnShare::of(quota, self.daemons);
+    ) -> QuotaDecision {
+        let share = LocalShare::of(quota, self.daemons);
         let count = self.counts.entry(tenant.clone()).or_default();
-        let is_drawn = count.own.as_mut().is_some_and(|own| own.draw(cost, random));
-        if is_drawn {
+        let is_admitted = count
+            .local
+            .as_mut()
+            .is_some_and(|local| local.try_consume(cost, random));
+        if is_admitted {
             count.admitted += i64::from(cost);
-            return Verdict::Admitted;
+            return QuotaDecision::Admitted;
         }
         let until = Duration::try_from_secs_f64(f64::from(cost) / share.rate);
-        Verdict::Refused {
-            retry_after: until.map_or(LONGEST_RETRY, |it| it.clamp(LEAST_RETRY, LONGEST_RETRY)),
-            basis: Basis::OwnShare,
+        QuotaDecision::Refused {
+            retry_after: until.map_or(MAX_RETRY_AFTER, |it| {
+                it.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
+            }),
+            basis: RefusalBasis::LocalShare,
         }
     }
 }
--- a/crates/routing/src/rate_limit.rs
+++ b/crates/routing/src/rate_limit.rs
@@ -1,11 +1,12 @@
-//! The rate that a runner takes from all daemons together.
+//! Rate limits that runners report, enforced across all daemons.
 //!
-//! A runner that is short of something names a rate in its answers. Each daemon that keeps to it by itself would send as much
-//! as all of them may, so requests to such a runner need permits, as those to cold runners do ([`crate::permits`]).
+//! A runner that is short of a resource reports a rate in its answers. If each daemon applied it on its own, each would
+//! send as much as all of them together may, so requests to such a runner need permits, as those to cold runners do
+//! ([`crate::permits`]).
 //!
-//! In any [`WINDOW`] the keeper gives as many permits as the rate allows. Three things come on top in a few seconds: what a
-//! successor gives that doesn't know its predecessor's permits ([`FIRST_PERMITS`]), the coordinator's own calls
-//! ([`CALL_INTERVAL`]), and what daemons send before they have heard of the rate.
+//! In any [`WINDOW`] the keeper issues as many permits as the rate allows. Within a few seconds, three sources can add
+//! to that: permits issued by a successor that does not know those of its predecessor ([`STARTUP_PERMITS`]), the
+//! coordinator's own calls ([`CALL_INTERVAL`]), and requests that daemons send before they learn of the rate.
 
 use std::fmt;
 use std::time::Duration;
@@ -14,50 +15,50 @@
 
 use crate::permits::PERMIT_LIFE;
 
-/// Time over which a runner is taken to count what it gets. Long enough that a rate of less than 1 a second allows something
-/// other than all or nothing.
-const SPAN: Duration = Duration::from_secs(4);
-/// Time over which the keeper counts permits: two of them given further apart are never used within [`SPAN`].
-pub const WINDOW: Duration = SPAN.saturating_add(PERMIT_LIFE);
-/// Permits for a runner that a keeper gives within a window of its beginning.
-pub const FIRST_PERMITS: usize = 1;
-/// Time between two calls of the coordinator to a runner that names a rate: they are not kept waiting by requests.
+/// Interval over which a runner is assumed to count its requests. It is long enough that a rate below 1 per second does
+/// not come down to all or nothing.
+const RUNNER_WINDOW: Duration = Duration::from_secs(4);
+/// Interval over which the keeper counts permits. Permits issued further apart are never used within [`RUNNER_WINDOW`].
+pub const WINDOW: Duration = RUNNER_WINDOW.saturating_add(PERMIT_LIFE);
+/// Permits per runner that a new keeper issues during its first window.
+pub const STARTUP_PERMITS: usize = 1;
+/// Interval between the coordinator's calls to a runner that reports a rate; these calls do not wait for permits.
 pub const CALL_INTERVAL: Duration = Duration::from_millis(2_100);
-/// Of so many permits in a window one is kept for more urgent ranks.
-const PERMITS_PER_SPARE: usize = 4;
+/// One in this many permits of a window is reserved for more urgent ranks.
+const PERMITS_PER_RESERVED: usize = 4;
 
-/// Requests a second, to a thousandth.
+/// Requests per second, with a resolution of 0.001.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RequestRate {
     thousandths: u32,
 }
 
 impl RequestRate {
-    /// A rate in requests a second; `None` if it is no number or below 0.
+    /// A rate in requests per second; `None` if it is negative or not finite.
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     pub fn per_second(rate: f64) -> Option<Self> {
         let is_rate = rate.is_finite() && rate >= 0.0;
-        // The largest number stands for all rates above it.
+        // Larger rates saturate.
         let thousandths = (rate * 1_000.0).min(f64::from(u32::MAX)) as u32;
         is_rate.then_some(Self { thousandths })
     }
 
-    /// In requests a second.
+    /// In requests per second.
     pub fn as_per_second(self) -> f64 {
         f64::from(self.thousandths) / 1_000.0
     }
 
-    /// Permits in any [`WINDOW`] at most. One at least, also for a rate of 0: only an answer tells that the runner takes
-    /// more again.
+    /// Maximum number of permits in any [`WINDOW`]. At least one, even for a rate of 0, because only an answer can show
+    /// that the runner accepts more again.
     pub(crate) fn permits(self) -> usize {
         let window = u64::try_from(WINDOW.as_millis()).unwrap_or(u64::MAX);
         let permits = u64::from(self.thousandths) * window / 1_000_000;
         usize::try_from(permits).unwrap_or(usize::MAX).max(1)
     }
 
-    /// Permits in a [`WINDOW`] that are kept for urgent ranks.
-    pub(crate) fn spare(self) -> usize {
-        self.permits() / PERMITS_PER_SPARE
+    /// Permits in a [`WINDOW`] that are reserved for urgent ranks.
+    pub(crate) fn reserved(self) -> usize {
+        self.permits() / PERMITS_PER_RESERVED
     }
 }
 
--- a/crates/routing/src/tenants.rs
+++ b/crates/routing/src/tenants.rs
@@ -1,7 +1,8 @@
-//! Tenants: whose requests are served, by which keys, and how much each may use.
+//! Tenants: whose requests are served, by which API keys, and how much each tenant may use.
 //!
-//! A key itself is never kept: daemons hold, compare and tell each other its digest. A lookup by digest takes a time
-//! that says nothing of a key, since nobody can choose digests that share their first bytes with a kept one.
+//! Keys themselves are never stored: daemons keep, compare and exchange their digests. The duration of a lookup by
+//! digest reveals nothing about a key, because digests that share their first bytes with a stored one cannot be
+//! constructed.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -14,10 +15,10 @@
 use crate::homes::Homes;
 use crate::names::TenantName;
 
-/// Length of a digest of a key, in bytes.
+/// Length of a key digest, in bytes.
 const DIGEST_BYTES: usize = 32;
-/// Bytes of a digest that are shown to operators.
-const FINGERPRINT_BYTES: usize = 4;
+/// Number of digest bytes that are displayed to operators.
+const DISPLAYED_BYTES: usize = 4;
 
 /// The SHA-256 digest of a key.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
@@ -30,10 +31,10 @@
     }
 }
 
-/// Shows the first bytes, by which operators tell keys apart.
+/// Displays the first bytes, by which operators tell keys apart.
 impl fmt::Display for KeyDigest {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for byte in &self.0[..FINGERPRINT_BYTES] {
+        for byte in &self.0[..DISPLAYED_BYTES] {
             write!(formatter, "{byte:02x}")?;
         }
         Ok(())
@@ -46,20 +47,20 @@
     }
 }
 
-/// What a quota counts.
+/// The unit in which a quota is measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum QuotaUnit {
-    /// Each request is one.
+    /// Each request counts as one.
     Requests,
-    /// Tokens of the prompt and of the longest answer.
+    /// Tokens of the prompt plus the maximum number of output tokens.
     Tokens {
-        /// What a request counts that names no tokens.
+        /// Cost of a request that does not specify token counts.
         plain: u32,
     },
 }
 
 impl QuotaUnit {
-    /// What a request counts that names these numbers of tokens, if it names any.
+    /// Cost of a request with these numbers of prompt and output tokens, if it specifies them.
     pub fn cost(self, tokens: Option<(u32, u32)>) -> u32 {
         match (self, tokens) {
             (Self::Requests, _) => 1,
@@ -69,27 +70,27 @@
     }
 }
 
-/// How much the requests of a tenant may use, all daemons together.
+/// How much the requests of a tenant may use, over all daemons.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Quota {
-    /// What is counted.
+    /// The unit.
     pub unit: QuotaUnit,
-    /// Units a second; above 0.
+    /// Units per second; above 0.
     pub rate: f64,
-    /// Units on top of that, once.
+    /// Burst capacity in addition to the rate, in units.
     pub burst: f64,
 }
 
 /// A tenant.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Tenant {
-    /// Its name, which runners are told.
+    /// Its name, which is sent to runners.
     pub name: TenantName,
-    /// Rank of its requests in place of their route's; 0 is the most urgent.
+    /// Rank of its requests, which overrides that of the route; 0 is the most urgent.
     pub priority: Option<u8>,
-    /// How much it may use; `None` bounds nothing.
+    /// How much it may use; `None` means unlimited.
     pub quota: Option<Quota>,
-    /// Where its requests may be served; the homes of their routes bind as well.
+    /// Where its requests may be served; the homes of their routes apply as well.
     pub homes: Homes,
 }
 
@@ -102,12 +103,12 @@
     pub keys: Vec<KeyDigest>,
 }
 
-/// Why tenants cannot be used.
+/// Why a list of tenants is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum TenantError {
-    /// A key would admit to two tenants.
-    #[error("the key {key} belongs to {first} and to {second}")]
-    SharedKey {
+    /// A key is assigned to two tenants.
+    #[error("key {key} is assigned to both {first} and {second}")]
+    DuplicateKey {
         /// The key.
         key: KeyDigest,
         /// One tenant.
@@ -115,12 +116,12 @@
         /// The other.
         second: TenantName,
     },
-    /// Two tenants have one name.
-    #[error("there are two tenants named {0}")]
-    SameName(TenantName),
-    /// A rate or burst is negative or no number.
-    #[error("the {what} of {tenant} must be a number of zero or more")]
-    BadQuota {
+    /// Two tenants have the same name.
+    #[error("duplicate tenant name {0}")]
+    DuplicateName(TenantName),
+    /// A rate or burst is negative or not finite.
+    #[error("the {what} of tenant {tenant} must be a finite number of at least 0")]
+    InvalidQuota {
         /// The tenant.
         tenant: TenantName,
         /// The rate or the burst.
@@ -128,7 +129,7 @@
     },
 }
 
-/// All tenants of a configuration, by key.
+/// All tenants of a configuration, indexed by key.
 #[derive(Clone, Debug, Default)]
 pub struct Tenants {
     list: Vec<TenantKeys>,
@@ -139,19 +140,19 @@
     /// Indexes tenants.
     ///
     /// # Errors
-    /// Fails if a key or name stands for two tenants, or a quota is no number of zero or more.
+    /// Fails if two tenants share a key or a name, or a quota is negative or not finite.
     pub fn new(list: Vec<TenantKeys>) -> Result<Self, TenantError> {
         let mut by_key: HashMap<KeyDigest, Arc<Tenant>> = HashMap::new();
         let mut names = std::collections::HashSet::new();
         for TenantKeys { tenant, keys } in &list {
             check_quota(tenant)?;
             if !names.insert(tenant.name.clone()) {
-                return Err(TenantError::SameName(tenant.name.clone()));
+                return Err(TenantError::DuplicateName(tenant.name.clone()));
             }
             for key in keys {
                 let other = by_key.insert(*key, tenant.clone());
                 if let Some(other) = other.filter(|other| other.name != tenant.name) {
-                    return Err(TenantError::SharedKey {
+                    return Err(TenantError::DuplicateKey {
                         key: *key,
                         first: other.name.clone(),
                         second: tenant.name.clone(),
@@ -162,13 +163,13 @@
         Ok(Self { list, by_key })
     }
 
-    /// Whether requests need no key.
+    /// Whether there are no tenants, so that requests need no key.
     pub fn is_empty(&self) -> bool {
         self.list.is_empty()
     }
 
-    /// The tenant that holds a key.
-    pub fn holder(&self, key: &KeyDigest) -> Option<&Arc<Tenant>> {
+    /// The tenant to which a key is assigned.
+    pub fn find_by_key(&self, key: &KeyDigest) -> Option<&Arc<Tenant>> {
         self.by_key.get(key)
     }
 
@@ -189,7 +190,7 @@
     };
     for (what, value) in [("rate", quota.rate), ("burst", quota.burst)] {
         if !value.is_finite() || value < 0.0 {
-            return Err(TenantError::BadQuota {
+            return Err(TenantError::InvalidQuota {
                 tenant: tenant.name.clone(),
                 what,
             });
--- a/crates/routing/tests/arrivals.rs
+++ b/crates/routing/tests/arrivals.rs
@@ -1,122 +1,123 @@
-//! How old messages are taken to be.
+//! Lower bounds on the arrival time of messages.
 
 use std::collections::VecDeque;
 
-use flaxward_routing::arrivals::Arrivals;
+use flaxward_routing::arrivals::ArrivalBound;
 use flaxward_types::time::Timestamp;
 use proptest::prelude::*;
 
-/// What may go wrong by while a daemon is not frozen: the time between two looks.
-const AWAKE_GAP_MS: u64 = 599;
+/// The allowed error while a daemon is not frozen: the interval between two polls.
+const MAX_POLL_GAP_MS: u64 = 599;
 
 #[test]
-fn after_a_standstill_all_that_lay_in_the_socket_is_old() {
-    let mut arrivals = Arrivals::new(Timestamp(1_000));
-    arrivals.looks(Timestamp(1_100), || true);
-    // Frozen for five seconds; three messages have come meanwhile.
+fn after_a_freeze_all_queued_messages_count_as_old() {
+    let mut arrivals = ArrivalBound::new(Timestamp(1_000));
+    arrivals.on_poll(Timestamp(1_100), || true);
+    // Frozen for five seconds; three messages have arrived in the meantime.
     for now in [6_100, 6_101, 6_102] {
-        arrivals.looks(Timestamp(now), || false);
-        assert_eq!(arrivals.came_after(), Timestamp(1_100));
+        arrivals.on_poll(Timestamp(now), || false);
+        assert_eq!(arrivals.earliest_arrival(), Timestamp(1_100));
     }
-    arrivals.looks(Timestamp(6_103), || true);
-    assert!(arrivals.came_after() >= Timestamp(6_102));
+    arrivals.on_poll(Timestamp(6_103), || true);
+    assert!(arrivals.earliest_arrival() >= Timestamp(6_102));
 }
 
-/// Three messages come at once; a daemon that is awake, but busy, takes in one at each look. Then it is frozen, and the
-/// third lies there for the whole time. It was taken to have come after the last look before the freeze, 717 ms later
-/// than it had: only what came during a standstill was told from what had waited before one.
+/// Guards against dating a queued message too late. Three messages arrive at once; a daemon that is running but busy
+/// takes one at each poll, and is frozen before it takes the third. That message was dated from the last poll before
+/// the freeze, 717 ms after its arrival: only messages that arrived during a freeze were told apart from those queued
+/// before it.
 #[test]
-fn a_message_that_waited_before_a_standstill_is_as_old_as_it_is() {
-    const CAME_AT: u64 = 2_708;
-    let mut arrivals = Arrivals::new(Timestamp(0));
-    arrivals.looks(Timestamp(2_707), || true);
+fn a_message_queued_before_a_freeze_counts_with_its_full_age() {
+    const ARRIVED_AT: u64 = 2_708;
+    let mut arrivals = ArrivalBound::new(Timestamp(0));
+    arrivals.on_poll(Timestamp(2_707), || true);
     for now in [3_076, 3_425, 4_025] {
-        arrivals.looks(Timestamp(now), || false);
-        let believed = arrivals.came_after();
+        arrivals.on_poll(Timestamp(now), || false);
+        let bound = arrivals.earliest_arrival();
         assert!(
-            believed <= Timestamp(CAME_AT + AWAKE_GAP_MS),
-            "believed {believed:?} at {now}"
+            bound <= Timestamp(ARRIVED_AT + MAX_POLL_GAP_MS),
+            "bound {bound:?} at {now}"
         );
     }
 }
 
 #[test]
 fn without_a_backlog_a_message_counts_at_most_20_ms_too_old() {
-    const ASK_AGAIN_AFTER_MS: u64 = 20;
-    let mut arrivals = Arrivals::new(Timestamp(0));
+    const RECHECK_INTERVAL_MS: u64 = 20;
+    let mut arrivals = ArrivalBound::new(Timestamp(0));
     let mut asked = 0;
     for now in 0..1_000 {
-        arrivals.looks(Timestamp(now), || {
+        arrivals.on_poll(Timestamp(now), || {
             asked += 1;
             true
         });
         assert!(
-            arrivals.came_after() > Timestamp(now.saturating_sub(ASK_AGAIN_AFTER_MS))
-                || now < ASK_AGAIN_AFTER_MS
+            arrivals.earliest_arrival() > Timestamp(now.saturating_sub(RECHECK_INTERVAL_MS))
+                || now < RECHECK_INTERVAL_MS
         );
     }
     assert!(asked <= 50, "asked {asked} times in a second");
 }
 
-/// Times between looks: a daemon that is awake, or frozen now and then.
+/// Intervals between polls of a daemon that is running, or frozen occasionally.
 fn gaps() -> impl Strategy<Value = Vec<u64>> {
     prop::collection::vec(prop_oneof![8 => 1_u64..400, 1 => 600_u64..9_000], 1..60)
 }
 
-/// When messages come.
+/// Arrival times of messages.
 fn messages() -> impl Strategy<Value = Vec<u64>> {
     prop::collection::vec(0_u64..60_000, 0..60)
 }
 
-/// A message that was taken in.
-struct Taken {
-    came_at: u64,
-    /// When it is believed to have come at the earliest.
-    believed: u64,
+/// A message that the daemon has received.
+struct Received {
+    arrived_at: u64,
+    /// The computed lower bound on its arrival time.
+    bound: u64,
     now: u64,
-    /// Time since the look before.
+    /// Time since the previous poll.
     gap: u64,
 }
 
-/// Messages come at any time, and the daemon takes in one at each look.
-fn taken(gaps: Vec<u64>, mut messages: Vec<u64>) -> Vec<Taken> {
+/// Messages arrive at any time, and the daemon takes one at each poll.
+fn received(gaps: Vec<u64>, mut messages: Vec<u64>) -> Vec<Received> {
     messages.sort_unstable();
     let mut coming: VecDeque<u64> = messages.into();
     let mut now = 0;
-    let mut arrivals = Arrivals::new(Timestamp(now));
-    let mut taken = Vec::new();
+    let mut arrivals = ArrivalBound::new(Timestamp(now));
+    let mut received = Vec::new();
     for gap in gaps {
         now += gap;
         let first = coming.pop_front_if(|at| *at <= now);
-        arrivals.looks(Timestamp(now), || first.is_none());
-        taken.extend(first.map(|came_at| Taken {
-            came_at,
-            believed: arrivals.came_after().0,
+        arrivals.on_poll(Timestamp(now), || first.is_none());
+        received.extend(first.map(|arrived_at| Received {
+            arrived_at,
+            bound: arrivals.earliest_arrival().0,
             now,
             gap,
         }));
     }
-    taken
+    received
 }
 
 proptest! {
-    /// The same without any allowance: neither a standstill nor a backlog makes a message younger.
+    /// The same without any tolerance: neither a freeze nor a backlog makes a message appear more recent.
     #[test]
-    fn a_message_came_no_earlier_than_is_believed(gaps in gaps(), messages in messages()) {
-        for Taken { came_at, believed, .. } in taken(gaps, messages) {
-            prop_assert!(believed <= came_at, "came at {came_at}, believed {believed}");
+    fn a_message_arrived_no_earlier_than_its_bound(gaps in gaps(), messages in messages()) {
+        for Received { arrived_at, bound, .. } in received(gaps, messages) {
+            prop_assert!(bound <= arrived_at, "arrived at {arrived_at}, bound {bound}");
         }
     }
 
-    /// Messages come at any time, the daemon takes in one at each look and is frozen now and then. No message counts
-    /// as younger than it is, but for the time between two looks of a daemon that is awake.
+    /// Messages arrive at any time; the daemon takes one at each poll and is frozen occasionally. No message appears
+    /// more recent than it is, except by the interval between two polls of a running daemon.
     #[test]
-    fn no_message_counts_as_younger_than_it_is(gaps in gaps(), messages in messages()) {
-        for Taken { came_at, believed, now, gap } in taken(gaps, messages) {
-            let backlog = now - came_at;
+    fn no_message_appears_more_recent_than_it_is(gaps in gaps(), messages in messages()) {
+        for Received { arrived_at, bound, now, gap } in received(gaps, messages) {
+            let backlog = now - arrived_at;
             prop_assert!(
-                believed <= came_at + AWAKE_GAP_MS.max(if gap < 600 { backlog } else { 0 }),
-                "came at {came_at}, believed {believed}, now {now}"
+                bound <= arrived_at + MAX_POLL_GAP_MS.max(if gap < 600 { backlog } else { 0 }),
+                "arrived at {arrived_at}, bound {bound}, now {now}"
             );
         }
     }
--- a/crates/routing/tests/balance.rs
+++ b/crates/routing/tests/balance.rs
@@ -6,7 +6,7 @@
 
 use flaxward_routing::availability::Availability;
 use flaxward_routing::balance::{HeldBack, NoRunner, Situation, Wanted, choose, is_worth_telling};
-use flaxward_routing::cold::spells::Spells;
+use flaxward_routing::cold::periods::ColdPeriods;
 use flaxward_routing::evacuation::Evacuations;
 use flaxward_routing::health::HealthTable;
 use flaxward_routing::homes::{Homes, Requirement};
@@ -117,7 +117,7 @@
                 notices: &Notices::default(),
                 locality: &Locality::new(zone(daemon), Regions::default()),
             },
-            spells: &Spells::default(),
+            spells: &ColdPeriods::default(),
             health: &self.health,
             in_flight: &in_flight,
             loads: &loads,
@@ -222,7 +222,7 @@
                     notices: &Notices::default(),
                     locality: &locality,
                 },
-                spells: &Spells::default(),
+                spells: &ColdPeriods::default(),
                 health: &HealthTable::default(),
                 in_flight: &HashMap::new(),
                 loads: &loads,
@@ -263,7 +263,7 @@
             notices: &Notices::default(),
             locality: &Locality::new(zone(0), Regions::default()),
         },
-        spells: &Spells::default(),
+        spells: &ColdPeriods::default(),
         health: &HealthTable::default(),
         in_flight: &HashMap::new(),
         loads: &HashMap::new(),
--- a/crates/routing/tests/configuration_transfer.rs
+++ b/crates/routing/tests/configuration_transfer.rs
@@ -96,7 +96,7 @@
     let whole = chunks.into_iter().find_map(|chunk| assembly.take(&chunk));
     let decoded = whole.unwrap().decode().unwrap();
     assert_eq!(decoded.version, 2);
-    let holds = |key: &[u8]| decoded.tenants().holder(&KeyDigest::of(key)).is_some();
+    let holds = |key: &[u8]| decoded.tenants().find_by_key(&KeyDigest::of(key)).is_some();
     assert!(holds(b"k1") && !holds(b"k2"));
     assert_eq!(decoded.route_count(), 20);
 }
--- a/crates/routing/tests/decisions.rs
+++ b/crates/routing/tests/decisions.rs
@@ -8,7 +8,7 @@
 use flaxward_routing::availability::Availability;
 use flaxward_routing::balance::{NoRunner, Situation, Wanted, choose};
 use flaxward_routing::budget::{RetryBudget, RetryBudgetSettings};
-use flaxward_routing::cold::spells::Spells;
+use flaxward_routing::cold::periods::ColdPeriods;
 use flaxward_routing::configuration::{
     ClientLimits, Configuration, Route, RouteKind, WeightedService,
 };
@@ -149,7 +149,7 @@
             if !is_repeat {
                 budget.count_request(&service, now);
                 requests.push(now);
-            } else if budget.try_repeat(&service, now, daemons) {
+            } else if budget.try_retry(&service, now, daemons) {
                 repeats.push(now);
             }
             let start = now - settings.window;
@@ -184,14 +184,14 @@
         let mut attempts = Attempts::default();
         let mut runs = 0;
         for failure in failures {
-            if !attempts.may_repeat(kind, max_attempts) {
+            if !attempts.may_retry(kind, max_attempts) {
                 break;
             }
-            attempts.count(failure);
+            attempts.record_failure(failure);
             runs += u32::from(failure.may_have_run());
             prop_assert!(runs <= 1 || kind.may_repeat());
             prop_assert!(runs <= max_attempts.max(1));
-            prop_assert_eq!(attempts.surely_not_run(), runs == 0);
+            prop_assert_eq!(attempts.definitely_not_run(), runs == 0);
         }
     }
 
@@ -269,7 +269,7 @@
                 notices: &Notices::default(),
                 locality: &Locality::new(zone.clone(), regions()),
             },
-            spells: &Spells::default(),
+            spells: &ColdPeriods::default(),
             health: &self.health,
             in_flight: &self.in_flight,
             loads: &self.loads,
--- a/crates/routing/tests/fingerprint.rs
+++ b/crates/routing/tests/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What makes two tries the same request.
+//! Which requests have the same fingerprint.
 
 use flaxward_routing::fingerprint::{RequestContent, RequestFingerprint};
 use flaxward_routing::names::TenantName;
@@ -12,7 +12,7 @@
 };
 
 #[test]
-fn tries_of_one_request_have_one_fingerprint() {
+fn retries_of_one_request_have_the_same_fingerprint() {
     assert_eq!(
         RequestFingerprint::of(&CONTENT),
         RequestFingerprint::of(&CONTENT.clone())
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn each_part_of_a_request_tells_it_apart() {
+fn each_part_of_a_request_changes_the_fingerprint() {
     let tenant = TenantName::new("t");
     let others = [
         RequestContent {
@@ -43,7 +43,7 @@
             body: b"",
             ..CONTENT
         },
-        // The same bytes, with the border between two fields elsewhere.
+        // The same bytes, with the boundary between two fields elsewhere.
         RequestContent {
             host: "a.example/path",
             target: "?query",
--- a/crates/routing/tests/homes.rs
+++ b/crates/routing/tests/homes.rs
@@ -6,7 +6,7 @@
 
 use flaxward_routing::availability::Availability;
 use flaxward_routing::balance::{NoRunner, Situation, Wanted, choose};
-use flaxward_routing::cold::spells::Spells;
+use flaxward_routing::cold::periods::ColdPeriods;
 use flaxward_routing::configuration::{Route, RouteKind, WeightedService};
 use flaxward_routing::evacuation::Evacuations;
 use flaxward_routing::health::{HealthTable, Observation};
@@ -77,7 +77,7 @@
             notices: &Notices::default(),
             locality: &Locality::new(Zone::new("w1"), regions()),
         },
-        spells: &Spells::default(),
+        spells: &ColdPeriods::default(),
         health: &HealthTable::default(),
         in_flight: &HashMap::new(),
         loads: &HashMap::new(),
@@ -268,7 +268,7 @@
         let locality = Locality::new(Zone::new(ZONES[own].0), regions());
         let situation = Situation {
             availability: Availability { runners: &table, evacuations: &evacuations, notices: &Notices::default(), locality: &locality },
-            spells: &Spells::default(),
+            spells: &ColdPeriods::default(),
             health: &health,
             in_flight: &in_flight,
             loads: &loads,
--- a/crates/routing/tests/membership.rs
+++ b/crates/routing/tests/membership.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use flaxward_routing::cold::spells::Spells;
+use flaxward_routing::cold::periods::ColdPeriods;
 use flaxward_routing::membership::{MembershipUpdate, UpdateScope};
 use flaxward_routing::names::{RunnerId, RunnerStart, ServiceName, Zone};
 use flaxward_routing::runners::{Holdings, Runner, RunnerTable};
@@ -397,10 +397,10 @@
     coordinator.replace(vec![runner(0, 1, false)], 1);
     let mut member = RunnerTable::default();
     member.replace(vec![runner(0, 1, false)], 1);
-    let mut spells = Spells::default();
+    let mut spells = ColdPeriods::default();
     let mut entry = |revision: u64, cold_ms: u64, now: u64| {
         coordinator.insert(cold_runner(revision, cold_ms), revision);
-        let turns = spells.take_in_all(&mut coordinator, Timestamp(now));
+        let turns = spells.update_all(&mut coordinator, Timestamp(now));
         coordinator.set_revision(revision);
         (turns.len(), bring_up_to_date(&mut member, &coordinator))
     };
--- a/crates/routing/tests/placement/paced_calls.rs
+++ b/crates/routing/tests/placement/paced_calls.rs
@@ -18,7 +18,7 @@
 fn reports(notice: RunnerNotice) -> Vec<Timestamp> {
     let runner = runners(1).remove(0);
     let mut notices = Notices::default();
-    notices.take_in(&runner.id, notice, BEGIN, BEGIN);
+    notices.apply_answer(&runner.id, notice, BEGIN, BEGIN);
     let mut placement = Placement::new(PlacementSettings::default(), BEGIN, BEGIN);
     placement.configure(&configuration());
     placement.set_runners([&runner].into_iter());
--- a/crates/routing/tests/placement/scarce.rs
+++ b/crates/routing/tests/placement/scarce.rs
@@ -95,7 +95,7 @@
             ..RunnerNotice::default()
         };
         let id = &self.runners[runner].id;
-        self.notices.take_in(id, notice, now, now);
+        self.notices.apply_answer(id, notice, now, now);
         self.placement.hear_notices(&self.notices, now);
     }
 }
--- a/crates/routing/tests/quarantine.rs
+++ b/crates/routing/tests/quarantine.rs
@@ -1,8 +1,8 @@
 //! Requests that crash runners: when they are put in quarantine, and that all daemons learn of it.
 //!
-//! The fleet is played in virtual time: messages are late or lost, daemons are killed and started, and the coordinator is
-//! lost. Whatever happens, daemons that are in touch send a request at most three times more under which three runners
-//! have crashed.
+//! The fleet is simulated in virtual time: messages are delayed or lost, daemons are killed and restarted, and the
+//! coordinator fails. In every case, connected daemons send a request at most three more times after three runners have
+//! crashed while processing it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -50,7 +50,7 @@
     Timestamp::ZERO + Duration::from_secs(seconds)
 }
 
-/// A daemon that has heard of three crashes under request 1, now.
+/// A daemon that has recorded three crashes during request 1, at `now`.
 fn with_three_crashes(now: Timestamp) -> Quarantine {
     let mut quarantine = Quarantine::new(SETTINGS);
     for runner in 1..=3 {
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn three_runners_put_a_request_in_quarantine_and_one_runner_told_thrice_does_not() {
+fn three_crashed_runners_quarantine_a_request_and_one_reported_three_times_does_not() {
     let mut quarantine = Quarantine::new(SETTINGS);
     let mut record = |report, now| quarantine.record(&report, at(now));
     assert_eq!(record(crash(1, 1), 0), Recorded::Counted(1));
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn one_more_crash_after_the_first_quarantine_begins_a_long_one() {
+fn one_more_crash_after_the_first_quarantine_starts_a_long_one() {
     let mut quarantine = with_three_crashes(at(0));
     assert_eq!(quarantine.remaining(&fingerprint(1), at(10)), None);
     let again = quarantine.record(&crash(1, 4), at(11));
@@ -91,18 +91,18 @@
     let mut other = with_three_crashes(at(0));
     assert_eq!(quarantine.record(&completed(1), at(1)), Recorded::Cleared);
     assert_eq!(quarantine.remaining(&fingerprint(1), at(1)), None);
-    // What others still hold does not bring it back, and they are cleared too.
-    assert!(quarantine.take_in(&other.entries(at(1)), at(1)).is_empty());
+    // The entries of other daemons do not restore it, and it is cleared there too.
+    assert!(quarantine.merge(&other.entries(at(1)), at(1)).is_empty());
     assert_eq!(quarantine.remaining(&fingerprint(1), at(1)), None);
-    other.take_in(&quarantine.entries(at(1)), at(1));
+    other.merge(&quarantine.entries(at(1)), at(1));
     assert_eq!(other.remaining(&fingerprint(1), at(1)), None);
     assert_eq!(other.digest(at(1)), quarantine.digest(at(1)));
-    // Crashes are counted from nothing again.
+    // The crash count starts from zero again.
     assert_eq!(quarantine.record(&crash(1, 4), at(2)), Recorded::Counted(1));
 }
 
 #[test]
-fn a_request_that_runs_well_between_crashes_is_never_put_in_quarantine() {
+fn a_request_that_completes_between_crashes_is_never_quarantined() {
     let mut quarantine = Quarantine::new(SETTINGS);
     for runner in 0..9 {
         assert_eq!(
@@ -120,18 +120,18 @@
 #[test]
 fn a_quarantine_ends_and_no_message_prolongs_it() {
     let mut quarantine = with_three_crashes(at(0));
-    let told = quarantine.entries(at(6));
-    assert!(quarantine.take_in(&told, at(6)).is_empty());
+    let entries = quarantine.entries(at(6));
+    assert!(quarantine.merge(&entries, at(6)).is_empty());
     assert!(quarantine.remaining(&fingerprint(1), at(9)).is_some());
     assert_eq!(quarantine.remaining(&fingerprint(1), at(10)), None);
-    // It is remembered for a while, and then forgotten.
+    // The entry is retained for a while, and then removed.
     assert_ne!(quarantine.digest(at(11)), 0);
     assert_eq!(quarantine.digest(at(611)), 0);
     assert!(quarantine.entries(at(611)).is_empty());
 }
 
 #[test]
-fn nothing_is_put_in_quarantine_if_the_operators_want_none() {
+fn nothing_is_quarantined_if_quarantine_is_disabled() {
     let mut quarantine = Quarantine::new(QuarantineSettings {
         crashes: 0,
         ..SETTINGS
@@ -170,7 +170,7 @@
 }
 
 proptest! {
-    /// Daemons that have heard of the same requests hold the same ones, also if there are too many.
+    /// Daemons that receive the same entries hold the same ones, even if there are too many.
     #[test]
     fn the_order_of_messages_does_not_matter(
         seeds in prop::collection::hash_set(0_u64..10_000, 1..2 * MAX_ENTRIES),
@@ -180,28 +180,28 @@
         let (early, late) = requests.split_at(cut.min(requests.len()));
         let mut first = Quarantine::new(SETTINGS);
         let mut second = Quarantine::new(SETTINGS);
-        first.take_in(early, at(0));
-        first.take_in(late, at(0));
-        second.take_in(late, at(0));
-        second.take_in(early, at(0));
+        first.merge(early, at(0));
+        first.merge(late, at(0));
+        second.merge(late, at(0));
+        second.merge(early, at(0));
         prop_assert_eq!(first.digest(at(1)), second.digest(at(1)));
         prop_assert!(first.entries(at(1)).len() <= MAX_ENTRIES);
         let news = second.entries(at(1));
-        prop_assert!(first.take_in(&news, at(1)).is_empty());
+        prop_assert!(first.merge(&news, at(1)).is_empty());
     }
 }
 
-/// Time of one step of a played fleet.
+/// Time step of the simulation.
 const STEP: Duration = Duration::from_millis(10);
 const DAEMONS: usize = 30;
 const HEARTBEAT: Duration = Duration::from_millis(500);
-/// Time without a coordinator after one was lost.
-const SUCCESSION: Duration = Duration::from_millis(3_300);
-/// Time until the store holds a record with news.
-const RECORDED_AFTER: Duration = Duration::from_millis(30);
-/// Time after a fault from which a daemon is in touch.
-const CONTACT: Duration = Duration::from_secs(3);
-/// How often a request may be sent by daemons in touch once everybody must know.
+/// Time without a coordinator after one is lost.
+const FAILOVER_TIME: Duration = Duration::from_millis(3_300);
+/// Time until the store holds a changed record.
+const RECORD_WRITE_TIME: Duration = Duration::from_millis(30);
+/// Time after a fault from which a daemon counts as connected.
+const RECONNECT_TIME: Duration = Duration::from_secs(3);
+/// How often connected daemons may send a request once all of them must know of its quarantine.
 const SENDS_ALLOWED: usize = 3;
 
 #[derive(Clone, Debug)]
@@ -214,12 +214,12 @@
 struct Daemon {
     quarantine: Quarantine,
     exchange: QuarantineExchange,
-    lives: bool,
-    /// When it was last killed, started or cut off.
-    disturbed_at: Timestamp,
+    is_running: bool,
+    /// When it was last killed, started or disconnected.
+    disrupted_at: Timestamp,
 }
 
-/// A fault of a played fleet.
+/// A fault injected into the simulated fleet.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
     Kill(usize),
@@ -229,18 +229,18 @@
 
 struct Fleet {
     daemons: Vec<Daemon>,
-    /// The coordinator is the first of these, the others are its deputies.
+    /// The first is the coordinator, the others are its deputies.
     keepers: Vec<usize>,
-    coordinates_from: Timestamp,
+    leads_from: Timestamp,
     record: Vec<QuarantineEntry>,
     pending_record: Option<(Timestamp, Vec<QuarantineEntry>)>,
     heartbeat_at: Timestamp,
     in_flight: Vec<(Timestamp, usize, Message)>,
     now: Timestamp,
     crashes: u64,
-    third_at: Option<Timestamp>,
+    third_crash_at: Option<Timestamp>,
     late_sends: usize,
-    lost: f64,
+    loss: f64,
     random: u64,
 }
 
@@ -253,26 +253,26 @@
 }
 
 impl Fleet {
-    fn new(lost: f64, seed: u64) -> Self {
+    fn new(loss: f64, seed: u64) -> Self {
         let daemon = |index| Daemon {
             quarantine: Quarantine::new(SETTINGS),
             exchange: QuarantineExchange::new(address(index)),
-            lives: true,
-            disturbed_at: Timestamp::ZERO,
+            is_running: true,
+            disrupted_at: Timestamp::ZERO,
         };
         Self {
             daemons: (0..DAEMONS).map(daemon).collect(),
             keepers: vec![0, 1, 2],
-            coordinates_from: Timestamp::ZERO,
+            leads_from: Timestamp::ZERO,
             record: Vec::new(),
             pending_record: None,
             heartbeat_at: Timestamp::ZERO,
             in_flight: Vec::new(),
             now: Timestamp::ZERO,
             crashes: 0,
-            third_at: None,
+            third_crash_at: None,
             late_sends: 0,
-            lost,
+            loss,
             random: seed | 1,
         }
     }
@@ -286,7 +286,7 @@
 
     #[allow(clippy::cast_precision_loss)]
     fn send(&mut self, to: usize, message: Message) {
-        let is_lost = (self.draw(1_000) as f64) < self.lost * 1_000.0;
+        let is_lost = (self.draw(1_000) as f64) < self.loss * 1_000.0;
         let delay = Duration::from_millis(1 + self.draw(20));
         if !is_lost {
             self.in_flight.push((self.now + delay, to, message));
@@ -295,7 +295,7 @@
 
     fn coordinator(&self) -> Option<usize> {
         let first = *self.keepers.first()?;
-        (self.now >= self.coordinates_from && self.daemons[first].lives).then_some(first)
+        (self.now >= self.leads_from && self.daemons[first].is_running).then_some(first)
     }
 
     fn step(&mut self) {
@@ -307,34 +307,36 @@
         self.in_flight = later;
         let due: Vec<_> = due;
         for (_, to, message) in due {
-            if self.daemons[to].lives {
+            if self.daemons[to].is_running {
                 self.receive(to, message);
             }
         }
-        self.succeed();
+        self.elect_coordinator();
         for daemon in 0..DAEMONS {
-            if self.daemons[daemon].lives {
-                self.tell(daemon);
+            if self.daemons[daemon].is_running {
+                self.tick(daemon);
             }
         }
         self.coordinate();
     }
 
-    /// Another daemon takes the lease over, with the record that the last holder has written.
-    fn succeed(&mut self) {
+    /// Another daemon takes over the lease, with the record that the last holder has written.
+    fn elect_coordinator(&mut self) {
         let now = self.now;
-        if self.coordinator().is_some() || now < self.coordinates_from {
+        if self.coordinator().is_some() || now < self.leads_from {
             return;
         }
-        let living: Vec<usize> = (0..DAEMONS).filter(|&it| self.daemons[it].lives).collect();
+        let running: Vec<usize> = (0..DAEMONS)
+            .filter(|&it| self.daemons[it].is_running)
+            .collect();
         let known = self
             .keepers
             .iter()
             .copied()
-            .filter(|it| living.contains(it));
+            .filter(|it| running.contains(it));
         let mut keepers: Vec<usize> = known.collect();
         keepers.extend(
-            living
+            running
                 .iter()
                 .copied()
                 .filter(|it| !self.keepers.contains(it)),
@@ -344,13 +346,13 @@
             return;
         };
         self.keepers = keepers;
-        self.coordinates_from = now + SUCCESSION;
+        self.leads_from = now + FAILOVER_TIME;
         let record = self.record.clone();
-        self.daemons[next].quarantine.take_in(&record, now);
+        self.daemons[next].quarantine.merge(&record, now);
     }
 
-    /// What a daemon does by itself.
-    fn tell(&mut self, daemon: usize) {
+    /// Sends the reports and announcements that are due at a daemon.
+    fn tick(&mut self, daemon: usize) {
         let now = self.now;
         let reports = self.daemons[daemon].exchange.due_reports(true, now);
         if !reports.is_empty() {
@@ -380,8 +382,8 @@
         let it = &mut self.daemons[coordinator];
         let news = it.exchange.due_record(&it.quarantine, now);
         if let Some(record) = news {
-            // The lease is renewed soon when there is news.
-            self.pending_record = Some((now + RECORDED_AFTER, record));
+            // The lease is renewed soon after a change.
+            self.pending_record = Some((now + RECORD_WRITE_TIME, record));
         }
         if let Some((_, record)) = self.pending_record.take_if(|(at, _)| *at <= now) {
             self.record = record;
@@ -413,7 +415,7 @@
                 }
             }
             Message::News(news) => {
-                it.quarantine.take_in(&news.entries, now);
+                it.quarantine.merge(&news.entries, now);
                 let answer = it.exchange.answer(&it.quarantine, &news, now);
                 if let Some(answer) = answer {
                     self.send(daemon_at(news.from), Message::News(answer));
@@ -422,28 +424,32 @@
         }
     }
 
-    /// The caller tries at some daemon; if that one sends the request, a runner crashes.
-    fn try_somewhere(&mut self) {
+    /// The caller sends its request to a random daemon; if that daemon forwards it, a runner crashes.
+    fn send_request(&mut self) {
         let now = self.now;
         let daemon = usize::try_from(self.draw(DAEMONS as u64)).unwrap();
         let it = &mut self.daemons[daemon];
-        if !it.lives || it.quarantine.remaining(&fingerprint(1), now).is_some() {
+        if !it.is_running || it.quarantine.remaining(&fingerprint(1), now).is_some() {
             return;
         }
-        let is_in_touch = now.since(it.disturbed_at) >= CONTACT;
-        if is_in_touch && self.third_at.is_some_and(|at| now.since(at) >= CONTACT) {
+        let is_connected = now.since(it.disrupted_at) >= RECONNECT_TIME;
+        if is_connected
+            && self
+                .third_crash_at
+                .is_some_and(|at| now.since(at) >= RECONNECT_TIME)
+        {
             self.late_sends += 1;
         }
         self.crashes += 1;
         if self.crashes == 3 {
-            self.third_at = Some(now);
+            self.third_crash_at = Some(now);
         }
         let crash = crash(1, self.crashes);
         it.quarantine.record(&crash, now);
-        it.exchange.seen(crash, now);
+        it.exchange.queue_report(crash, now);
     }
 
-    fn strike(&mut self, fault: Fault) {
+    fn inject(&mut self, fault: Fault) {
         match fault {
             Fault::Kill(daemon) => self.restart(daemon % DAEMONS),
             Fault::KillCoordinator => self.restart(self.keepers[0]),
@@ -451,18 +457,18 @@
         }
     }
 
-    /// A daemon is killed and starts again, with what the store records.
+    /// Kills and restarts a daemon, which loads the record from the store.
     fn restart(&mut self, daemon: usize) {
         let now = self.now;
         if self.coordinator() == Some(daemon) {
-            self.coordinates_from = now + SUCCESSION;
+            self.leads_from = now + FAILOVER_TIME;
             self.pending_record = None;
         }
         let it = &mut self.daemons[daemon];
         it.quarantine = Quarantine::new(SETTINGS);
-        it.quarantine.take_in(&self.record, now);
+        it.quarantine.merge(&self.record, now);
         it.exchange = QuarantineExchange::new(address(daemon));
-        it.disturbed_at = now;
+        it.disrupted_at = now;
     }
 }
 
@@ -478,28 +484,28 @@
     #![proptest_config(ProptestConfig::with_cases(96))]
 
     #[test]
-    fn a_request_that_has_crashed_three_runners_is_hardly_sent_by_any_daemon_in_touch(
-        lost in prop_oneof![Just(0.0), 0.0..0.2],
+    fn connected_daemons_rarely_send_a_request_that_has_crashed_three_runners(
+        loss in prop_oneof![Just(0.0), 0.0..0.2],
         seed in any::<u64>(),
         try_every in 10_u64..150,
         faults in prop::collection::vec((0_u64..2_500, fault()), 0..6),
     ) {
-        let mut fleet = Fleet::new(lost, seed);
+        let mut fleet = Fleet::new(loss, seed);
         for step in 0..2_500 {
             fleet.step();
             for (at, fault) in &faults {
                 if *at == step {
-                    fleet.strike(*fault);
+                    fleet.inject(*fault);
                 }
             }
             if step > 400 && step % try_every == 0 {
-                fleet.try_somewhere();
+                fleet.send_request();
             }
         }
-        prop_assert!(fleet.crashes >= 3, "the caller has not come through");
+        prop_assert!(fleet.crashes >= 3, "fewer than three runners crashed");
         prop_assert!(
             fleet.late_sends <= SENDS_ALLOWED,
-            "sent {} times more, {} runners crashed",
+            "sent {} more times, {} runners crashed",
             fleet.late_sends,
             fleet.crashes
         );
