--- a/crates/routing/tests/quota.rs
+++ b/crates/routing/tests/quota.rs
@@ -1,6 +1,6 @@
-//! Quotas over a fleet of daemons, in virtual time: messages are late, lost or doubled, daemons are killed, started and
-//! cut off, the coordinator is lost. Whatever happens, the sum that all admit stays within the operators' bound, and
-//! while word gets through no request below the rate is refused.
+//! Quotas over a fleet of daemons, in virtual time: messages are delayed or lost, daemons are killed, started and
+//! disconnected, and the coordinator fails. In every case, the total admitted by all daemons stays within the
+//! operators' bound, and while messages get through no request below the rate is refused.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -10,9 +10,9 @@
 use flaxward_routing::configuration::{ClientLimits, Configuration};
 use flaxward_routing::homes::Homes;
 use flaxward_routing::names::TenantName;
-use flaxward_routing::quota::announcer::{Announcer, DEPUTIES, Speaker};
+use flaxward_routing::quota::announcer::{Announcer, AnnouncerRole, DEPUTIES};
 use flaxward_routing::quota::keeper::QuotaKeeper;
-use flaxward_routing::quota::meter::{QuotaMeter, Verdict};
+use flaxward_routing::quota::meter::{QuotaDecision, QuotaMeter};
 use flaxward_routing::quota::{Grant, QuotaNews, QuotaQuestion, TenantUse, UseReport};
 use flaxward_routing::tenants::{Quota, QuotaUnit, Tenant, TenantKeys, Tenants};
 use flaxward_types::time::Timestamp;
@@ -20,17 +20,17 @@
 
 const STEP: Duration = Duration::from_millis(5);
 const DAEMONS: usize = 40;
-/// The operators' bound: any window, and what may lie beyond the quota in it.
+/// The operators' bound: the window length, and the allowed excess over the quota in any window.
 const WINDOW: Duration = Duration::from_secs(8);
-const OVER: f64 = 0.1;
+const OVERSHOOT: f64 = 0.1;
 const SLACK: f64 = 11_000.0;
 const HEARTBEAT: Duration = Duration::from_millis(500);
-/// Time for an answer of the keeper.
+/// Timeout for an answer of the keeper.
 const ANSWER_TIME: Duration = Duration::from_millis(80);
-/// Time without a coordinator after one was lost.
-const SUCCESSION: Duration = Duration::from_millis(3_300);
-/// Time in which a fleet that has just begun comes to rest.
-const SETTLED: Duration = Duration::from_secs(6);
+/// Time without a coordinator after one is lost.
+const FAILOVER_TIME: Duration = Duration::from_millis(3_300);
+/// Time in which a newly started fleet reaches a steady state.
+const SETTLING_TIME: Duration = Duration::from_secs(6);
 
 #[derive(Clone, Debug)]
 enum Message {
@@ -53,13 +53,13 @@
     announcer: Announcer,
     asked: BTreeMap<u64, Asked>,
     is_cut_off: bool,
-    lives: bool,
+    is_running: bool,
 }
 
-/// What a tenant sends, in times of its rate.
+/// The load of a tenant, as a multiple of its rate.
 #[derive(Clone, Copy, Debug)]
 struct Load {
-    usual: f64,
+    normal: f64,
     hot: f64,
     hot_from: Duration,
     hot_for: Duration,
@@ -67,22 +67,22 @@
 
 struct Fleet {
     now: Timestamp,
-    begun: Timestamp,
+    started_at: Timestamp,
     tenants: Vec<Arc<Tenant>>,
     configuration: Configuration,
     daemons: Vec<Daemon>,
     leader: Option<usize>,
     succession_at: Option<Timestamp>,
     heartbeat_at: Timestamp,
-    mail: BTreeMap<(Timestamp, u64), (usize, Message)>,
+    in_flight: BTreeMap<(Timestamp, u64), (usize, Message)>,
     admitted: Vec<VecDeque<(Timestamp, u32)>>,
     refused: Vec<usize>,
     sent: Vec<usize>,
-    worst: Vec<f64>,
+    peak_share: Vec<f64>,
     random: u64,
     loss: u64,
     number: u64,
-    owing: Vec<f64>,
+    owed_units: Vec<f64>,
 }
 
 fn address(index: usize) -> SocketAddr {
@@ -117,7 +117,7 @@
 }
 
 impl Fleet {
-    /// Three tenants: a large one, one of which a daemon sees a request now and then, and a small one.
+    /// Three tenants: a large one, one whose requests a single daemon sees only occasionally, and a small one.
     fn new(seed: u64, loss: u64) -> Self {
         let rates = [
             ("large", 170_000.0),
@@ -125,26 +125,26 @@
             ("small", 2_700.0),
         ];
         let tenants: Vec<Arc<Tenant>> = rates.map(|(name, rate)| tenant(name, rate)).into();
-        let begun = Timestamp(10_000);
+        let started_at = Timestamp(10_000);
         let count = tenants.len();
         let mut fleet = Self {
-            now: begun,
-            begun,
+            now: started_at,
+            started_at,
             configuration: configuration(&tenants),
             tenants,
             daemons: Vec::new(),
             leader: Some(0),
             succession_at: None,
             heartbeat_at: Timestamp::ZERO,
-            mail: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             admitted: vec![VecDeque::new(); count],
             refused: vec![0; count],
             sent: vec![0; count],
-            worst: vec![0.0; count],
+            peak_share: vec![0.0; count],
             random: seed | 1,
             loss,
             number: 0,
-            owing: vec![0.0; count],
+            owed_units: vec![0.0; count],
         };
         for index in 0..DAEMONS {
             let daemon = fleet.daemon(index);
@@ -161,7 +161,7 @@
             announcer: Announcer::new(address(index), self.now),
             asked: BTreeMap::new(),
             is_cut_off: false,
-            lives: true,
+            is_running: true,
         }
     }
 
@@ -174,7 +174,7 @@
         mixed ^ (mixed >> 31)
     }
 
-    fn post(&mut self, from: usize, to: usize, message: &Message) {
+    fn send_message(&mut self, from: usize, to: usize, message: &Message) {
         if self.daemons[from].is_cut_off || self.daemons[to].is_cut_off {
             return;
         }
@@ -187,15 +187,16 @@
             let delay = 1 + self.next_random() % 12;
             self.number += 1;
             let at = self.now + Duration::from_millis(delay);
-            self.mail.insert((at, self.number), (to, message.clone()));
+            self.in_flight
+                .insert((at, self.number), (to, message.clone()));
         }
     }
 
     fn kill(&mut self, index: usize) {
-        self.daemons[index].lives = false;
+        self.daemons[index].is_running = false;
         if self.leader == Some(index) {
             self.leader = None;
-            self.succession_at = Some(self.now + SUCCESSION);
+            self.succession_at = Some(self.now + FAILOVER_TIME);
         }
     }
 
@@ -222,38 +223,38 @@
     }
 
     fn deliver(&mut self) {
-        while let Some(entry) = self.mail.first_entry() {
+        while let Some(entry) = self.in_flight.first_entry() {
             if entry.key().0 > self.now {
                 return;
             }
             let (to, message) = entry.remove();
-            if self.daemons[to].lives && !self.daemons[to].is_cut_off {
-                self.received(to, message);
+            if self.daemons[to].is_running && !self.daemons[to].is_cut_off {
+                self.receive(to, message);
             }
         }
     }
 
-    fn received(&mut self, to: usize, message: Message) {
+    fn receive(&mut self, to: usize, message: Message) {
         let now = self.now;
         let daemon = &mut self.daemons[to];
         match message {
             Message::News(news) => {
-                daemon.announcer.heard(&news, now);
-                daemon.meter.heard(&news, now);
+                daemon.announcer.observe(&news, now);
+                daemon.meter.apply_announcement(&news, now);
             }
-            Message::Report(report) => daemon.keeper.heard(report, now),
+            Message::Report(report) => daemon.keeper.record_report(report, now),
             Message::Question(from, question) => {
                 let grant = daemon.keeper.ask(address(from), &question, now);
                 let answer = Message::Answer(question.number, grant, address(to));
-                self.post(to, from, &answer);
+                self.send_message(to, from, &answer);
             }
             Message::Answer(number, grant, from) => {
                 let Some(asked) = daemon.asked.remove(&number) else {
                     return;
                 };
                 let name = &self.tenants[asked.tenant].name;
-                let verdict = daemon.meter.answered(name, asked.cost, from, grant);
-                self.decided(asked.tenant, asked.cost, verdict);
+                let verdict = daemon.meter.on_answer(name, asked.cost, from, grant);
+                self.record_decision(asked.tenant, asked.cost, verdict);
             }
         }
     }
@@ -261,7 +262,7 @@
     fn coordinate(&mut self) {
         if self.succession_at.is_some_and(|at| self.now >= at) {
             let fit =
-                |index: &usize| self.daemons[*index].lives && !self.daemons[*index].is_cut_off;
+                |index: &usize| self.daemons[*index].is_running && !self.daemons[*index].is_cut_off;
             self.leader = (0..DAEMONS).find(fit);
             self.succession_at = None;
         }
@@ -275,41 +276,41 @@
         }
     }
 
-    fn news(&mut self, speaker: usize) -> QuotaNews {
-        let others = (0..DAEMONS).filter(|&it| it != speaker && self.daemons[it].lives);
+    fn news(&mut self, sender: usize) -> QuotaNews {
+        let others = (0..DAEMONS).filter(|&it| it != sender && self.daemons[it].is_running);
         let deputies: Vec<SocketAddr> = others.take(DEPUTIES).map(address).collect();
-        let is_leader = self.leader == Some(speaker);
-        let own = std::iter::once(address(speaker));
+        let is_leader = self.leader == Some(sender);
+        let own = std::iter::once(address(sender));
         let now = self.now;
         let daemons = u32::try_from(DAEMONS).unwrap();
         QuotaNews {
-            from: address(speaker),
+            from: address(sender),
             keepers: if is_leader {
                 own.chain(deputies).collect()
             } else {
                 Vec::new()
             },
             daemons,
-            limits: self.daemons[speaker].keeper.limits(daemons, now),
+            limits: self.daemons[sender].keeper.limits(daemons, now),
         }
     }
 
-    fn announce(&mut self, speaker: usize, news: &QuotaNews) {
+    fn announce(&mut self, sender: usize, news: &QuotaNews) {
         let now = self.now;
-        let daemon = &mut self.daemons[speaker];
-        daemon.announcer.told(&news.limits, now);
-        daemon.meter.heard(news, now);
-        if self.leader == Some(speaker) {
-            daemon.announcer.heard(news, now);
+        let daemon = &mut self.daemons[sender];
+        daemon.announcer.record_announced(&news.limits, now);
+        daemon.meter.apply_announcement(news, now);
+        if self.leader == Some(sender) {
+            daemon.announcer.observe(news, now);
         }
-        for to in (0..DAEMONS).filter(|&to| to != speaker) {
-            self.post(speaker, to, &Message::News(news.clone()));
+        for to in (0..DAEMONS).filter(|&to| to != sender) {
+            self.send_message(sender, to, &Message::News(news.clone()));
         }
     }
 
     fn tick(&mut self, index: usize) {
         let now = self.now;
-        if !self.daemons[index].lives {
+        if !self.daemons[index].is_running {
             return;
         }
         self.daemons[index]
@@ -320,23 +321,25 @@
             let keepers = self.daemons[index].announcer.keepers().to_vec();
             for keeper in keepers {
                 if keeper == address(index) {
-                    self.daemons[index].keeper.heard(report.clone(), now);
+                    self.daemons[index]
+                        .keeper
+                        .record_report(report.clone(), now);
                 } else {
-                    self.post(index, self::index(keeper), &Message::Report(report.clone()));
+                    self.send_message(index, self::index(keeper), &Message::Report(report.clone()));
                 }
             }
         }
-        let speaker = if self.leader == Some(index) {
-            Some(Speaker::Coordinator)
+        let sender = if self.leader == Some(index) {
+            Some(AnnouncerRole::Coordinator)
         } else {
-            let speaks = self.daemons[index].announcer.speaks_as_deputy(now);
-            speaks.then_some(Speaker::Deputy)
+            let speaks = self.daemons[index].announcer.acts_as_deputy(now);
+            speaks.then_some(AnnouncerRole::Deputy)
         };
-        if let Some(speaker) = speaker {
+        if let Some(sender) = sender {
             let news = self.news(index);
             if self.daemons[index]
                 .announcer
-                .is_due(speaker, &news.limits, now)
+                .is_due(sender, &news.limits, now)
             {
                 self.announce(index, &news);
             }
@@ -344,7 +347,7 @@
         self.expire(index);
     }
 
-    /// Questions that were not answered in time.
+    /// Handles questions that were not answered in time.
     fn expire(&mut self, index: usize) {
         let now = self.now;
         let late = |asked: &Asked| now.since(asked.at) >= ANSWER_TIME;
@@ -357,24 +360,24 @@
             let random = self.next_random();
             let name = self.tenants[asked.tenant].name.clone();
             let meter = &mut self.daemons[index].meter;
-            let verdict = meter.unanswered(&name, asked.cost, random, now);
-            self.decided(asked.tenant, asked.cost, verdict);
+            let verdict = meter.on_timeout(&name, asked.cost, random, now);
+            self.record_decision(asked.tenant, asked.cost, verdict);
         }
     }
 
     fn send_requests(&mut self, tenant: usize, load: Load) {
-        let at = self.now.since(self.begun);
+        let at = self.now.since(self.started_at);
         let is_hot = at >= load.hot_from && at < load.hot_from + load.hot_for;
-        let part = if is_hot { load.hot } else { load.usual };
+        let part = if is_hot { load.hot } else { load.normal };
         let rate = self.tenants[tenant].quota.unwrap().rate;
-        self.owing[tenant] += rate * part * STEP.as_secs_f64();
-        while self.owing[tenant] > 0.0 {
+        self.owed_units[tenant] += rate * part * STEP.as_secs_f64();
+        while self.owed_units[tenant] > 0.0 {
             let random = self.next_random();
             let cost = [200, 700, 1_500, 2_500][usize::try_from(random % 4).unwrap()];
-            self.owing[tenant] -= f64::from(cost);
+            self.owed_units[tenant] -= f64::from(cost);
             let daemon = usize::try_from(self.next_random() % u64::try_from(DAEMONS).unwrap());
             let daemon = daemon.unwrap();
-            if self.daemons[daemon].lives {
+            if self.daemons[daemon].is_running {
                 self.request(daemon, tenant, cost);
             }
         }
@@ -385,7 +388,7 @@
         let known = self.tenants[tenant].clone();
         self.sent[tenant] += 1;
         match self.daemons[daemon].meter.admit(&known, cost, random, now) {
-            Verdict::Ask(keeper) => {
+            QuotaDecision::Ask(keeper) => {
                 self.number += 1;
                 let asked = Asked {
                     tenant,
@@ -401,7 +404,7 @@
                 };
                 self.ask(daemon, index(keeper), question);
             }
-            decided => self.decided(tenant, cost, decided),
+            record_decision => self.record_decision(tenant, cost, record_decision),
         }
     }
 
@@ -411,21 +414,23 @@
                 .keeper
                 .ask(address(daemon), &question, self.now);
             let answer = Message::Answer(question.number, grant, address(keeper));
-            self.received(daemon, answer);
+            self.receive(daemon, answer);
         } else {
-            self.post(daemon, keeper, &Message::Question(daemon, question));
+            self.send_message(daemon, keeper, &Message::Question(daemon, question));
         }
     }
 
-    fn decided(&mut self, tenant: usize, cost: u32, verdict: Verdict) {
+    fn record_decision(&mut self, tenant: usize, cost: u32, verdict: QuotaDecision) {
         match verdict {
-            Verdict::Admitted => self.admitted[tenant].push_back((self.now, cost)),
-            Verdict::Refused { .. } => self.refused[tenant] += 1,
-            Verdict::Ask(_) => unreachable!("a question was answered by a question"),
+            QuotaDecision::Admitted => self.admitted[tenant].push_back((self.now, cost)),
+            QuotaDecision::Refused { .. } => self.refused[tenant] += 1,
+            QuotaDecision::Ask(_) => {
+                unreachable!("a decision after an answer or a timeout must be final")
+            }
         }
     }
 
-    /// Notes the fullest window, in parts of the bound.
+    /// Records the fullest window, as a share of the bound.
     fn check(&mut self) {
         for (tenant, admitted) in self.admitted.iter_mut().enumerate() {
             while admitted
@@ -437,25 +442,29 @@
             let sum: f64 = admitted.iter().map(|(_, cost)| f64::from(*cost)).sum();
             let quota = self.tenants[tenant].quota.unwrap();
             let allowed = quota.rate * WINDOW.as_secs_f64() + quota.burst;
-            let bound = allowed * (1.0 + OVER) + SLACK;
-            self.worst[tenant] = self.worst[tenant].max(sum / bound);
+            let bound = allowed * (1.0 + OVERSHOOT) + SLACK;
+            self.peak_share[tenant] = self.peak_share[tenant].max(sum / bound);
         }
     }
 
     fn assert_bounded(&self) {
-        for (tenant, worst) in self.tenants.iter().zip(&self.worst) {
-            assert!(*worst <= 1.0, "{}: {worst} of the bound", tenant.name);
+        for (tenant, peak_share) in self.tenants.iter().zip(&self.peak_share) {
+            assert!(
+                *peak_share <= 1.0,
+                "{}: {peak_share} of the bound",
+                tenant.name
+            );
         }
     }
 
-    fn forget_counts(&mut self) {
+    fn reset_counts(&mut self) {
         self.refused.fill(0);
         self.sent.fill(0);
     }
 }
 
-const USUAL: Load = Load {
-    usual: 0.55,
+const NORMAL: Load = Load {
+    normal: 0.55,
     hot: 0.55,
     hot_from: Duration::ZERO,
     hot_for: Duration::ZERO,
@@ -466,19 +475,19 @@
         hot: 4.2,
         hot_from: Duration::from_secs(from),
         hot_for: Duration::from_secs(seconds),
-        ..USUAL
+        ..NORMAL
     }
 }
 
 #[test]
-fn below_its_rate_nobody_is_refused() {
+fn requests_below_the_rate_are_not_refused() {
     let mut fleet = Fleet::new(1, 10);
-    fleet.run(SETTLED, |_| USUAL);
-    fleet.forget_counts();
-    fleet.run(Duration::from_secs(20), |_| USUAL);
+    fleet.run(SETTLING_TIME, |_| NORMAL);
+    fleet.reset_counts();
+    fleet.run(Duration::from_secs(20), |_| NORMAL);
     assert_eq!(fleet.refused[0], 0, "the large tenant");
     assert_eq!(fleet.refused[1], 0, "the middle one");
-    // One request of the small one can count most of its burst; two at once pass it.
+    // One request of the small tenant can cost most of its burst; two at the same time exceed it.
     assert!(
         fleet.refused[2] * 6 <= fleet.sent[2],
         "{:?} of {:?}",
@@ -491,12 +500,16 @@
 #[test]
 fn a_hot_tenant_gets_its_quota_and_leaves_the_others_theirs() {
     let mut fleet = Fleet::new(2, 10);
-    fleet.run(SETTLED, |_| USUAL);
-    fleet.forget_counts();
-    let load = |tenant| if tenant == 0 { hot(8, 10) } else { USUAL };
+    fleet.run(SETTLING_TIME, |_| NORMAL);
+    fleet.reset_counts();
+    let load = |tenant| if tenant == 0 { hot(8, 10) } else { NORMAL };
     fleet.run(Duration::from_secs(14), load);
     fleet.assert_bounded();
-    assert!(fleet.worst[0] > 0.8, "only {} of the bound", fleet.worst[0]);
+    assert!(
+        fleet.peak_share[0] > 0.8,
+        "only {} of the bound",
+        fleet.peak_share[0]
+    );
     assert_eq!(fleet.refused[1], 0, "the middle tenant");
 }
 
@@ -504,13 +517,13 @@
 fn without_a_coordinator_deputies_keep_the_quotas() {
     for lost in 1..=2 {
         let mut fleet = Fleet::new(3, 10);
-        fleet.run(SETTLED, |_| USUAL);
-        fleet.forget_counts();
+        fleet.run(SETTLING_TIME, |_| NORMAL);
+        fleet.reset_counts();
         for index in 0..lost {
             fleet.kill(index);
         }
-        fleet.run(SUCCESSION + SETTLED, |tenant| {
-            if tenant == 0 { hot(7, 6) } else { USUAL }
+        fleet.run(FAILOVER_TIME + SETTLING_TIME, |tenant| {
+            if tenant == 0 { hot(7, 6) } else { NORMAL }
         });
         fleet.assert_bounded();
         assert!(
@@ -521,22 +534,22 @@
     }
 }
 
-/// Guards against many refusals of tenants within their quotas: with the coordinator and both deputies lost at once each daemon
-/// keeps to an equal share, however unevenly its callers come.
+/// Guards against many refusals of tenants within their quotas: if the coordinator and both deputies are lost at once,
+/// each daemon limits itself to an equal share, however unevenly requests are spread.
 #[test]
 fn without_any_keeper_tenants_below_their_rates_are_not_refused() {
     let mut fleet = Fleet::new(50, 10);
     let load = Load {
-        usual: 0.8,
+        normal: 0.8,
         hot: 0.8,
-        ..USUAL
+        ..NORMAL
     };
-    fleet.run(SETTLED, |_| load);
-    fleet.forget_counts();
+    fleet.run(SETTLING_TIME, |_| load);
+    fleet.reset_counts();
     for index in 0..=DEPUTIES {
         fleet.kill(index);
     }
-    fleet.run(SUCCESSION + SETTLED, |_| load);
+    fleet.run(FAILOVER_TIME + SETTLING_TIME, |_| load);
     assert!(
         fleet.refused[0] * 50 <= fleet.sent[0],
         "{:?} of {:?}",
@@ -546,9 +559,9 @@
 }
 
 #[test]
-fn a_daemon_that_hears_nobody_keeps_to_its_share() {
+fn an_isolated_daemon_keeps_to_its_local_share() {
     let mut fleet = Fleet::new(4, 0);
-    fleet.run(SETTLED, |_| USUAL);
+    fleet.run(SETTLING_TIME, |_| NORMAL);
     for index in 1..DAEMONS {
         fleet.daemons[index].is_cut_off = true;
     }
@@ -559,7 +572,7 @@
 #[test]
 fn the_bucket_of_a_lower_quota_is_smaller_at_once() {
     let mut fleet = Fleet::new(5, 10);
-    fleet.run(SETTLED, |_| USUAL);
+    fleet.run(SETTLING_TIME, |_| NORMAL);
     let rates = [
         ("large", 17_000.0),
         ("middle", 20_000.0),
@@ -571,16 +584,20 @@
     lowered.version = 2;
     fleet.configuration = lowered;
     let ten_times = Load {
-        usual: 5.5,
+        normal: 5.5,
         hot: 5.5,
-        ..USUAL
+        ..NORMAL
     };
-    let load = |tenant| if tenant == 0 { ten_times } else { USUAL };
+    let load = |tenant| if tenant == 0 { ten_times } else { NORMAL };
     fleet.run(WINDOW + Duration::from_secs(3), load);
-    fleet.worst.fill(0.0);
+    fleet.peak_share.fill(0.0);
     fleet.run(Duration::from_secs(10), load);
     fleet.assert_bounded();
-    assert!(fleet.worst[0] > 0.7, "only {} of the bound", fleet.worst[0]);
+    assert!(
+        fleet.peak_share[0] > 0.7,
+        "only {} of the bound",
+        fleet.peak_share[0]
+    );
 }
 
 #[test]
@@ -607,22 +624,22 @@
 }
 
 #[test]
-fn a_report_that_was_overtaken_changes_nothing() {
+fn a_reordered_report_changes_nothing() {
     let now = Timestamp(1_000);
     let large = tenant("large", 100_000.0);
     let mut keeper = QuotaKeeper::new(now);
     keeper.configure(&configuration(std::slice::from_ref(&large)), now);
-    keeper.heard(report(&large, 0, 0), now);
-    keeper.heard(report(&large, 5_000, 5_000), now);
+    keeper.record_report(report(&large, 0, 0), now);
+    keeper.record_report(report(&large, 5_000, 5_000), now);
     let level = keeper.level(&large.name);
-    keeper.heard(report(&large, 1_000, 1_000), now);
+    keeper.record_report(report(&large, 1_000, 1_000), now);
     assert_eq!(keeper.level(&large.name), level);
-    keeper.heard(report(&large, 5_000, 5_000), now);
+    keeper.record_report(report(&large, 5_000, 5_000), now);
     assert_eq!(keeper.level(&large.name), level);
 }
 
 #[test]
-fn refused_requests_are_told_to_come_back_one_after_another() {
+fn refused_requests_get_increasing_retry_times() {
     let now = Timestamp(1_000);
     let middle = tenant("middle", 20_000.0);
     let mut keeper = QuotaKeeper::new(now);
@@ -657,8 +674,8 @@
 }
 
 #[test]
-fn less_urgent_requests_leave_room_and_are_not_shut_out() {
-    /// Requests after which the keeper knows what is asked.
+fn less_urgent_requests_leave_room_and_are_not_starved() {
+    /// Number of requests after which the keeper knows the demand.
     const DEMAND_KNOWN: u64 = 500;
     let mut now = Timestamp(1_000);
     let large = tenant("large", 100_000.0);
@@ -671,7 +688,7 @@
         let urgent = number % 7 == 0;
         let cost = 300 + u32::try_from(number * 37 % 400).unwrap();
         units += u64::from(cost);
-        keeper.heard(report(&large, granted_units, units), now);
+        keeper.record_report(report(&large, granted_units, units), now);
         let question = QuotaQuestion {
             number,
             tenant: large.name.clone(),
@@ -693,37 +710,37 @@
     assert!(granted[1] * 5 > asked[1], "{granted:?} of {asked:?}");
 }
 
-/// Faults beside a tenant that sends four times its rate.
+/// Faults that occur while one tenant sends four times its rate.
 #[derive(Clone, Copy, Debug)]
 struct Faults {
     seed: u64,
-    /// Messages lost, in thousandths.
+    /// Lost messages, in thousandths.
     loss: u64,
     hot_tenant: usize,
-    /// Second from which the tenant sends that.
+    /// Second at which the tenant starts to exceed its rate.
     hot_at: u64,
     /// Number of daemons that are killed, and the first of them.
     killed: usize,
     kill_from: usize,
-    /// When, and for how long, in ms.
+    /// When they are killed, and for how long they are down, in ms.
     kill_after: u64,
     down_for: u64,
-    /// Number of daemons that are cut off at that moment, and the first of them.
+    /// Number of daemons that are disconnected at that moment, and the first of them.
     cut: usize,
     cut_from: usize,
 }
 
-/// The fullest window of each tenant under some faults, in parts of the bound.
-fn fullest_windows(faults: Faults) -> Vec<f64> {
+/// The fullest window of each tenant under the given faults, as a share of the bound.
+fn peak_window_shares(faults: Faults) -> Vec<f64> {
     let mut fleet = Fleet::new(faults.seed, faults.loss);
     let load = |tenant| {
         if tenant == faults.hot_tenant {
             hot(faults.hot_at, 9)
         } else {
-            USUAL
+            NORMAL
         }
     };
-    fleet.run(SETTLED, load);
+    fleet.run(SETTLING_TIME, load);
     fleet.run(Duration::from_millis(faults.kill_after), load);
     let killed = (0..faults.killed).map(|it| (it + faults.kill_from) % DAEMONS);
     let killed: Vec<usize> = killed.collect();
@@ -734,7 +751,7 @@
         fleet.daemons[index].is_cut_off = true;
         if fleet.leader == Some(index) {
             fleet.leader = None;
-            fleet.succession_at = Some(fleet.now + SUCCESSION);
+            fleet.succession_at = Some(fleet.now + FAILOVER_TIME);
         }
     }
     fleet.run(Duration::from_millis(faults.down_for), load);
@@ -746,21 +763,22 @@
         fleet.daemons[index].is_cut_off = false;
     }
     fleet.run(Duration::from_secs(6), load);
-    fleet.worst
+    fleet.peak_share
 }
 
 fn assert_bounded(faults: Faults) {
-    let worst = fullest_windows(faults);
+    let peak_share = peak_window_shares(faults);
     assert!(
-        worst.iter().all(|worst| *worst <= 1.0),
-        "{worst:?} of the bound: {faults:?}"
+        peak_share.iter().all(|peak_share| *peak_share <= 1.0),
+        "{peak_share:?} of the bound: {faults:?}"
     );
 }
 
-/// The coordinator and a deputy are cut off and the other deputy is killed as a tenant becomes hot. The deputy is back at
-/// once or soon, knows little or nothing of what was admitted, and coordinates some seconds later.
+/// Guards against exceeding the bound after a keeper restart. The coordinator and one deputy are disconnected and the
+/// other deputy is killed as a tenant starts to exceed its rate. The deputy restarts at once or soon, knows little or
+/// nothing of what was admitted, and becomes coordinator some seconds later.
 #[test]
-fn a_keeper_that_has_just_begun_does_not_grant_what_others_make_good() {
+fn a_new_keeper_does_not_grant_what_other_daemons_compensate() {
     let lost = Faults {
         seed: 0,
         loss: 0,
@@ -783,9 +801,10 @@
     });
 }
 
-/// The keepers live; ten other daemons start anew while one message in twenty is lost.
+/// Guards against exceeding the bound while the keepers stay up, ten other daemons restart and one message in twenty is
+/// lost.
 #[test]
-fn the_sum_stays_bounded_beside_daemons_that_start_anew_and_lost_messages() {
+fn the_total_stays_bounded_while_daemons_restart_and_messages_are_lost() {
     assert_bounded(Faults {
         seed: 7_072_436_529_891_757_522,
         loss: 54,
@@ -803,9 +822,9 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(48))]
 
-    /// Kills, starts, cuts and losses at any moment, beside a tenant that sends four times its rate.
+    /// Kills, restarts, disconnections and message loss at any time, while one tenant sends four times its rate.
     #[test]
-    fn the_sum_stays_bounded(
+    fn the_total_stays_bounded(
         seed in any::<u64>(),
         loss in 0_u64..60,
         hot_tenant in 0_usize..3,
@@ -820,8 +839,8 @@
         let faults = Faults {
             seed, loss, hot_tenant, hot_at, killed, kill_from, kill_after, down_for, cut, cut_from,
         };
-        for (tenant, worst) in fullest_windows(faults).iter().enumerate() {
-            prop_assert!(*worst <= 1.0, "tenant {}: {} of the bound", tenant, worst);
+        for (tenant, peak_share) in peak_window_shares(faults).iter().enumerate() {
+            prop_assert!(*peak_share <= 1.0, "tenant {}: {} of the bound", tenant, peak_share);
         }
     }
 }
--- a/crates/routing/tests/tenants.rs
+++ b/crates/routing/tests/tenants.rs
@@ -35,7 +35,7 @@
     ];
     let tenants = Tenants::new(list).unwrap();
     let holder = |key: &str| {
-        let holder = tenants.holder(&KeyDigest::of(key.as_bytes()));
+        let holder = tenants.find_by_key(&KeyDigest::of(key.as_bytes()));
         holder.map(|tenant| tenant.name.to_string())
     };
     assert_eq!(holder("k2").as_deref(), Some("a"));
@@ -45,15 +45,15 @@
 }
 
 #[test]
-fn tenants_that_contradict_each_other_are_rejected() {
+fn conflicting_tenants_are_rejected() {
     let shared = vec![tenant("a", &["k"], 1.0, 1.0), tenant("b", &["k"], 1.0, 1.0)];
     let shared = Tenants::new(shared).unwrap_err();
-    assert!(matches!(shared, TenantError::SharedKey { .. }));
+    assert!(matches!(shared, TenantError::DuplicateKey { .. }));
     assert!(!shared.to_string().contains("\"k\""));
     let same = vec![tenant("a", &["1"], 1.0, 1.0), tenant("a", &["2"], 1.0, 1.0)];
     assert_eq!(
         Tenants::new(same).unwrap_err(),
-        TenantError::SameName(TenantName::new("a"))
+        TenantError::DuplicateName(TenantName::new("a"))
     );
     for (rate, burst) in [
         (-1.0, 0.0),
@@ -62,12 +62,12 @@
         (1.0, f64::INFINITY),
     ] {
         let bad = Tenants::new(vec![tenant("a", &[], rate, burst)]);
-        assert!(matches!(bad, Err(TenantError::BadQuota { .. })));
+        assert!(matches!(bad, Err(TenantError::InvalidQuota { .. })));
     }
 }
 
 #[test]
-fn a_key_is_never_shown() {
+fn a_key_is_never_displayed() {
     let digest = KeyDigest::of(b"secret-key");
     let shown = format!("{digest} {digest:?}");
     assert!(!shown.contains("secret"));
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_request_counts_by_the_unit() {
+fn the_cost_of_a_request_depends_on_the_unit() {
     let tokens = QuotaUnit::Tokens { plain: 200 };
     assert_eq!(tokens.cost(Some((1_460, 80))), 1_540);
     assert_eq!(tokens.cost(None), 200);
