--- a/crates/routing/src/availability.rs
+++ b/crates/routing/src/availability.rs
@@ -33,7 +33,7 @@
     /// Whether a runner is eligible for requests. Its own notices count in addition to the list, which may be late: the
     /// store may be unreachable, and the list may have come through other daemons.
     fn is_usable(&self, runner: &Runner) -> bool {
-        let leaves = runner.draining || self.notices.leaves(&runner.id);
+        let leaves = runner.draining || self.notices.is_leaving(&runner.id);
         !leaves && !self.evacuations.includes(runner)
     }
 
--- a/crates/routing/src/balance.rs
+++ b/crates/routing/src/balance.rs
@@ -19,7 +19,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::availability::Availability;
-use crate::cold::spells::Spells;
+use crate::cold::periods::ColdPeriods;
 use crate::health::HealthTable;
 use crate::homes::Homes;
 use crate::locality::Distance;
@@ -54,7 +54,7 @@
     /// The runners, and which of them are eligible for requests.
     pub availability: Availability<'a>,
     /// Which runners are cold.
-    pub spells: &'a Spells,
+    pub spells: &'a ColdPeriods,
     /// Health of the runners.
     pub health: &'a HealthTable,
     /// Requests of this daemon in progress at each runner.
--- a/crates/routing/tests/balance.rs
+++ b/crates/routing/tests/balance.rs
@@ -8,7 +8,7 @@
 use flaxward_routing::balance::{
     NoRunner, PermitWait, SelectionContext, SelectionCriteria, choose, is_load_reportable,
 };
-use flaxward_routing::cold::spells::Spells;
+use flaxward_routing::cold::periods::ColdPeriods;
 use flaxward_routing::evacuation::Evacuations;
 use flaxward_routing::health::HealthTable;
 use flaxward_routing::homes::{Homes, Requirement};
@@ -120,7 +120,7 @@
                 notices: &Notices::default(),
                 locality: &Locality::new(zone(daemon), Regions::default()),
             },
-            spells: &Spells::default(),
+            spells: &ColdPeriods::default(),
             health: &self.health,
             in_flight: &in_flight,
             loads: &loads,
@@ -227,7 +227,7 @@
                     notices: &Notices::default(),
                     locality: &locality,
                 },
-                spells: &Spells::default(),
+                spells: &ColdPeriods::default(),
                 health: &HealthTable::default(),
                 in_flight: &HashMap::new(),
                 loads: &loads,
@@ -276,7 +276,7 @@
             notices: &Notices::default(),
             locality: &Locality::new(zone(0), Regions::default()),
         },
-        spells: &Spells::default(),
+        spells: &ColdPeriods::default(),
         health: &HealthTable::default(),
         in_flight: &HashMap::new(),
         loads: &HashMap::new(),
