--- a/crates/ingress/src/coordination/configurations.rs
+++ b/crates/ingress/src/coordination/configurations.rs
@@ -72,7 +72,7 @@
         let Some(assembly) = self.assembly.as_mut().filter(|_| chunk.version > known) else {
             return;
         };
-        let Some(encoded) = assembly.take(chunk) else {
+        let Some(encoded) = assembly.add(chunk) else {
             return;
         };
         self.assembly = None;
--- a/crates/ingress/src/coordination/leading.rs
+++ b/crates/ingress/src/coordination/leading.rs
@@ -104,10 +104,12 @@
 
     /// Takes in what a member uses.
     pub fn heard_usage(&mut self, usage: Usage, now: Timestamp) {
-        let is_new = self.dissemination.heard(&usage.from, usage.known, now);
+        let is_new = self
+            .dissemination
+            .record_known_state(&usage.from, usage.known, now);
         let waits = !usage.waiting.is_empty();
         if waits {
-            self.dissemination.answer_soon(&usage.from);
+            self.dissemination.schedule_message(&usage.from);
         }
         if is_new || waits {
             self.plan_soon(now);
@@ -117,17 +119,18 @@
 
     /// Takes in what a member knows of what runners hold.
     pub fn heard_summary(&mut self, summary: HoldingsSummary, now: Timestamp) {
-        self.dissemination.heard_summary(summary, now);
+        self.dissemination.record_summary(summary, now);
     }
 
     /// Takes in what a member's requests wait for.
     pub fn heard_waiting(&mut self, notice: WaitNotice, now: Timestamp) {
         let member = &notice.from;
-        self.dissemination.heard(member, notice.known, now);
+        self.dissemination
+            .record_known_state(member, notice.known, now);
         if notice.has_gap {
-            self.dissemination.has_gap(member, notice.known);
+            self.dissemination.record_gap(member, notice.known);
         }
-        self.dissemination.answer_soon(member);
+        self.dissemination.schedule_message(member);
         self.placement.waiting(notice, now);
         self.plan_soon(now);
     }
--- a/crates/ingress/src/job.rs
+++ b/crates/ingress/src/job.rs
@@ -331,7 +331,7 @@
             return self.request.deadline;
         }
         let patience = if self.route.kind.is_stream() {
-            self.route.stream_patience().mul_f64(PATIENCE_SHARE)
+            self.route.stream_silence_timeout().mul_f64(PATIENCE_SHARE)
         } else {
             let patience = self.route.target.mul_f64(PATIENCE_TARGETS);
             patience.max(LEAST_PATIENCE)
--- a/crates/ingress/src/relay.rs
+++ b/crates/ingress/src/relay.rs
@@ -167,7 +167,7 @@
         if !self.may_resume() || self.choose_next().is_err() {
             return self.request.deadline;
         }
-        let silence = self.route.stream_patience().mul_f64(SILENCE_SHARE);
+        let silence = self.route.stream_silence_timeout().mul_f64(SILENCE_SHARE);
         (Instant::now() + silence).min(self.request.deadline)
     }
 
--- a/crates/ingress/src/waiting.rs
+++ b/crates/ingress/src/waiting.rs
@@ -177,7 +177,7 @@
     arrived: Instant,
 ) -> Instant {
     let patience = if route.kind.is_stream() {
-        (arrived + route.stream_patience()).min(request.deadline)
+        (arrived + route.stream_silence_timeout()).min(request.deadline)
     } else {
         request.deadline
     };
--- a/crates/ingress/src/watches/evacuations.rs
+++ b/crates/ingress/src/watches/evacuations.rs
@@ -111,7 +111,7 @@
     let zones = zones.join(",");
     let revision = listed.revision;
     let before = shared.tables().evacuations.clone();
-    if !shared.tables().evacuations.take_in(listed) {
+    if !shared.tables().evacuations.update(listed) {
         return;
     }
     suspect_returned(shared, &before);
--- a/crates/routing/src/configuration.rs
+++ b/crates/routing/src/configuration.rs
@@ -1,4 +1,4 @@
-//! Routes and services as the operators have set them.
+//! Configuration of routes and services, as set by the operators.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -11,22 +11,22 @@
 use crate::names::{ModelName, RouteName, ServiceName};
 use crate::tenants::Tenants;
 
-/// What may be done with a request of a route.
+/// Retry and response semantics of the requests of a route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RouteKind {
-    /// May run more than once.
+    /// Requests may be executed more than once.
     Repeatable,
-    /// Runs at most once.
+    /// Requests are executed at most once.
     AtMostOnce,
-    /// Answered by a stream of events.
+    /// The response is an event stream.
     Stream {
-        /// A broken stream may be continued at another runner.
+        /// An interrupted stream may be resumed on another runner.
         resumable: bool,
     },
 }
 
 impl RouteKind {
-    /// Whether a request may run again after a run whose outcome is unknown.
+    /// Whether a request may be retried after an attempt with unknown outcome.
     pub fn may_repeat(self) -> bool {
         match self {
             Self::Repeatable => true,
@@ -35,117 +35,117 @@
         }
     }
 
-    /// Whether the answer is a stream of events.
+    /// Whether the response is an event stream.
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream { .. })
     }
 }
 
-/// One part of a split.
+/// One target of a weighted traffic split.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WeightedService {
     /// The service.
     pub service: ServiceName,
-    /// Its share, relative to the other parts.
+    /// Share of the traffic, relative to the other targets.
     pub weight: u32,
 }
 
-/// Where requests of one host and prefix go.
+/// Routing of the requests for one host and path prefix.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
-    /// Its name.
+    /// Name of the route.
     pub name: RouteName,
-    /// Host, in lower case and without a port.
+    /// Host name, in lower case and without a port.
     pub host: String,
-    /// Beginning of the path, with a slash at both ends.
+    /// Path prefix, with a leading and a trailing slash.
     pub prefix: String,
-    /// What may be done with its requests.
+    /// Retry and response semantics.
     pub kind: RouteKind,
-    /// Longest time that a request is held.
+    /// Maximum time that a request is held.
     pub timeout: Duration,
-    /// Time within which an answer is in time.
+    /// Target response time.
     pub target: Duration,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the highest.
     pub priority: u8,
-    /// One service, or the parts of a split.
+    /// A single service, or the targets of a weighted split.
     pub services: Vec<WeightedService>,
-    /// Runners to which one request may be sent.
+    /// Maximum number of runners to which one request may be sent.
     pub max_attempts: u32,
-    /// Longest pause between events of a stream that is in time.
+    /// Target for the maximum gap between events of a stream.
     pub event_gap: Duration,
     /// Requests name a model and the parts of their prompt.
     pub is_generation: bool,
-    /// Requests need no key.
+    /// Requests need no API key.
     pub is_public: bool,
-    /// Where requests may be served.
+    /// Regions in which requests may be served.
     pub homes: Homes,
 }
 
-/// Shortest time after which callers may give up a stream that sends nothing.
-const LEAST_STREAM_PATIENCE: Duration = Duration::from_secs(2);
+/// Lower bound of [`Route::stream_silence_timeout`].
+const MIN_STREAM_SILENCE_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl Route {
-    /// Time without an event after which callers give a stream up, its first event included.
-    pub fn stream_patience(&self) -> Duration {
+    /// Time without an event after which callers abandon a stream; it also applies to the first event.
+    pub fn stream_silence_timeout(&self) -> Duration {
         let by_target = self.target * 4;
         let by_gap = self.event_gap * 8;
-        by_target.max(by_gap).max(LEAST_STREAM_PATIENCE)
+        by_target.max(by_gap).max(MIN_STREAM_SILENCE_TIMEOUT)
     }
 }
 
-/// A model that the runners of a service can load.
+/// Specification of a model that the runners of a service can load.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ModelSpecification {
     /// Size of the weights, in MB.
     pub weights_mb: f64,
     /// Size of one adapter, in MB.
     pub adapter_mb: f64,
-    /// Time of a load from the weight store.
+    /// Load time from the weight store.
     pub store_load: Duration,
-    /// Time of a load from the runner's disk.
+    /// Load time from the runner's disk.
     pub disk_load: Duration,
-    /// Time of a load from the runner's host memory.
+    /// Load time from the runner's host memory.
     pub memory_load: Duration,
 }
 
-/// The model engine of a service.
+/// Model engine of the runners of a service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Engine {
-    /// Requests that one runner runs at once.
+    /// Number of requests that one runner processes concurrently.
     pub slots: u32,
-    /// Memory of one runner for weights and adapters, in MB.
+    /// Memory of one runner available for weights and adapters, in MB.
     pub weights_mb: f64,
-    /// Adapters that one runner holds at most.
+    /// Maximum number of adapters loaded on one runner.
     pub adapter_slots: usize,
-    /// Loads from the weight store, per second, all runners together.
+    /// Loads from the weight store per second, summed over all runners.
     pub loads_per_second: f64,
     /// Models by name.
     pub models: BTreeMap<ModelName, ModelSpecification>,
 }
 
-/// A group of equal runners.
+/// A group of identical runners.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Service {
-    /// Its name.
+    /// Name of the service.
     pub name: ServiceName,
-    /// Connections that one runner accepts from all callers together.
+    /// Maximum number of connections that one runner accepts, summed over all callers.
     pub max_connections: u32,
-    /// The model engine, if its runners are model runners.
+    /// Model engine; `None` if the runners do not serve models.
     pub engine: Option<Engine>,
-    /// What its runners bear after their start; `None` if they bear all at once.
+    /// Limits on runners after their start; `None` if they take full load immediately.
     pub cold_start: Option<ColdStart>,
 }
 
-/// Bounds on what a client may send.
+/// Limits on client requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClientLimits {
-    /// Longest head, in bytes.
+    /// Maximum size of the request head, in bytes.
     pub header_bytes: usize,
-    /// Longest body, in bytes.
+    /// Maximum size of the request body, in bytes.
     pub body_bytes: usize,
-    /// Time allowed for the head.
+    /// Time limit for receiving the request head.
     pub header_time: Duration,
-    /// Time for which an idle connection is kept.
+    /// Time after which an idle connection is closed.
     pub idle_time: Duration,
 }
 
@@ -163,9 +163,9 @@
 /// One version of the configuration.
 #[derive(Clone, Debug, Default)]
 pub struct Configuration {
-    /// Rises with each change.
+    /// Increases with each change.
     pub version: u64,
-    /// Bounds on what a client may send.
+    /// Limits on client requests.
     pub limits: ClientLimits,
     services: HashMap<ServiceName, Arc<Service>>,
     routes_by_host: HashMap<String, Vec<Arc<Route>>>,
@@ -173,7 +173,7 @@
 }
 
 impl Configuration {
-    /// Indexes routes and services.
+    /// Creates a configuration without tenants, and indexes its routes and services.
     pub fn new(
         version: u64,
         limits: ClientLimits,
@@ -201,41 +201,41 @@
         }
     }
 
-    /// The same with tenants, whose keys requests must carry.
+    /// Adds tenants; requests must then carry one of their API keys.
     #[must_use]
     pub fn with_tenants(mut self, tenants: Tenants) -> Self {
         self.tenants = tenants;
         self
     }
 
-    /// The tenants; none if requests need no key.
+    /// The tenants; empty if requests need no API key.
     pub fn tenants(&self) -> &Tenants {
         &self.tenants
     }
 
-    /// The route with the longest prefix that begins the path, among those of the host.
+    /// Finds the route of a host with the longest prefix that matches the path.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let name = host.split(':').next().unwrap_or(host);
         let routes = self.routes_by_host.get(&name.to_ascii_lowercase())?;
         routes.iter().find(|route| path.starts_with(&route.prefix))
     }
 
-    /// A service by name.
+    /// Looks up a service by name.
     pub fn service(&self, name: &ServiceName) -> Option<&Arc<Service>> {
         self.services.get(name)
     }
 
-    /// All services, in no order.
+    /// All services, in unspecified order.
     pub fn services(&self) -> impl Iterator<Item = &Arc<Service>> {
         self.services.values()
     }
 
-    /// All routes, in no order.
+    /// All routes, in unspecified order.
     pub fn routes(&self) -> impl Iterator<Item = &Arc<Route>> {
         self.routes_by_host.values().flatten()
     }
 
-    /// Number of routes.
+    /// Total number of routes.
     pub fn route_count(&self) -> usize {
         self.routes_by_host.values().map(Vec::len).sum()
     }
--- a/crates/routing/src/configuration_age.rs
+++ b/crates/routing/src/configuration_age.rs
@@ -1,32 +1,33 @@
-//! How old a daemon's knowledge of the configuration is.
+//! Age of a daemon's configuration.
 //!
-//! Knowledge is as old as the last moment at which somebody was certain that no newer version existed: a call to the
-//! store counts from when it was sent, and what a peer says from when the peer's own certainty began. So a daemon that
-//! is cut off, or hears only peers that are, knows when it may no longer rely on keys that could have been taken away.
+//! The age is the time since some daemon last confirmed that no newer version existed. A read from the store counts
+//! from the time at which it was sent, and a report of a peer from the time of the peer's own confirmation. A daemon
+//! that is partitioned, or that only reaches partitioned peers, can thus tell when to stop accepting keys that may have
+//! been revoked.
 
 use std::time::Duration;
 
 use flaxward_types::time::Timestamp;
 
-/// That no version newer than this one existed at a moment.
+/// Confirmation that no version newer than `version` existed at the time `at`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Confirmation {
     version: u64,
     at: Timestamp,
 }
 
-/// What one daemon knows.
+/// Tracks the age of the configuration of one daemon.
 #[derive(Debug, Default)]
 pub struct ConfigurationAge {
-    /// The version in force here.
+    /// Version in force on this daemon.
     version: u64,
     confirmed_at: Option<Timestamp>,
-    /// A confirmation of a version that is not in force here yet.
+    /// Confirmation of a version that is not in force on this daemon yet.
     newer: Option<Confirmation>,
 }
 
 impl ConfigurationAge {
-    /// A version is in force here from now on.
+    /// Records that a version is now in force on this daemon.
     pub fn applied(&mut self, version: u64) {
         self.version = self.version.max(version);
         if let Some(newer) = self.newer.take_if(|newer| newer.version <= version) {
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Somebody was certain at a moment that no version newer than this one existed.
+    /// Records a confirmation that no version newer than this one existed at a given time.
     pub fn confirmed(&mut self, version: u64, at: Timestamp) {
         if version <= self.version {
             self.confirm(at);
@@ -43,7 +44,7 @@
         self.newer = self.newer.max(Some(Confirmation { version, at }));
     }
 
-    /// Time since the version in force here was surely the newest; `None` if it never was.
+    /// Time since the version in force was last confirmed to be the newest; `None` if it never was.
     pub fn age(&self, now: Timestamp) -> Option<Duration> {
         self.confirmed_at.map(|at| now.since(at))
     }
--- a/crates/routing/src/configuration_transfer.rs
+++ b/crates/routing/src/configuration_transfer.rs
@@ -1,8 +1,8 @@
-//! A configuration as daemons pass it to each other.
+//! Transfer of configurations between daemons.
 //!
-//! It is cut into parts that change apart from each other: the routes, the tenants, and each service. A daemon that
-//! lacks a version names the digests of the parts it has and gets the others, so that a changed key costs some hundred
-//! bytes, and not the list of all models. Parts longer than a datagram go in chunks.
+//! A configuration is split into parts that change independently: the routes, the tenants, and each service. A daemon
+//! that needs a version sends the digests of the parts it has and receives the others, so a changed key costs some
+//! hundred bytes instead of the list of all models. Parts larger than a datagram are sent in chunks.
 
 use std::collections::BTreeMap;
 
@@ -13,14 +13,14 @@
 use crate::configuration::{ClientLimits, Configuration, Route, Service};
 use crate::tenants::{TenantError, TenantKeys, Tenants};
 
-/// Bytes of a part in one message, so that it fits a datagram.
+/// Maximum payload of a chunk in bytes, so that a message fits into a datagram.
 const CHUNK_BYTES: usize = 1_100;
-/// Longest part that is taken in, in bytes.
+/// Maximum size of a part that is accepted, in bytes.
 const MAX_PART_BYTES: u32 = 8 * 1024 * 1024;
-/// Parts of a configuration at most.
+/// Maximum number of parts of a configuration.
 const MAX_PARTS: usize = 256;
 
-/// One part.
+/// A part of a configuration.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 enum Part {
     Routes(ClientLimits, Vec<Route>),
@@ -28,42 +28,42 @@
     Service(Service),
 }
 
-/// What a part is recognized by.
+/// Identity of a part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartId {
-    /// Hash of its bytes.
+    /// Hash of the encoded part.
     pub digest: u64,
-    /// Its length in bytes.
+    /// Length of the encoded part, in bytes.
     pub length: u32,
 }
 
-/// A piece of one part, with what the whole configuration consists of.
+/// A chunk of one part, with the identities of all parts of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigurationChunk {
     /// Version of the configuration.
     pub version: u64,
-    /// All its parts.
+    /// All parts of the configuration.
     pub parts: Vec<PartId>,
-    /// The part that the bytes belong to.
+    /// Digest of the part to which the bytes belong.
     pub digest: u64,
-    /// Where in the part they begin.
+    /// Offset of the bytes within the part.
     pub offset: u32,
-    /// The bytes; none if the receiver has all parts.
+    /// Payload; empty if the receiver already has all parts.
     pub bytes: Vec<u8>,
 }
 
-/// Why parts are no configuration.
+/// Error in decoding a configuration from its parts.
 #[derive(Debug, Error)]
 pub enum TransferError {
-    /// A part does not decode.
-    #[error("a part cannot be decoded: {0}")]
+    /// A part cannot be decoded.
+    #[error("cannot decode configuration part: {0}")]
     Decode(#[from] postcard::Error),
-    /// The tenants contradict each other.
+    /// The tenants are inconsistent.
     #[error(transparent)]
     Tenants(#[from] TenantError),
 }
 
-/// A configuration in parts.
+/// A configuration as encoded parts.
 #[derive(Clone, Debug, Default)]
 pub struct EncodedConfiguration {
     version: u64,
@@ -71,7 +71,7 @@
 }
 
 impl EncodedConfiguration {
-    /// Cuts a configuration into parts.
+    /// Splits a configuration into encoded parts.
     ///
     /// # Panics
     /// Never: every part can be encoded into memory.
@@ -112,7 +112,7 @@
         self.parts.iter().map(|(id, _)| id.digest).collect()
     }
 
-    /// What a daemon lacks that has these parts; at least one message, which tells the version.
+    /// Chunks of the parts missing from `known`; at least one chunk, which carries the version.
     pub fn chunks_for(&self, known: &[u64]) -> Vec<ConfigurationChunk> {
         let ids: Vec<PartId> = self.parts.iter().map(|(id, _)| *id).collect();
         let chunk = |digest: u64, offset: usize, bytes: &[u8]| ConfigurationChunk {
@@ -122,10 +122,10 @@
             offset: u32::try_from(offset).unwrap_or(u32::MAX),
             bytes: bytes.to_vec(),
         };
-        let lacking = self.parts.iter();
-        let lacking = lacking.filter(|(id, _)| !known.contains(&id.digest));
+        let missing = self.parts.iter();
+        let missing = missing.filter(|(id, _)| !known.contains(&id.digest));
         let mut chunks = Vec::new();
-        for (id, bytes) in lacking {
+        for (id, bytes) in missing {
             let pieces = bytes.chunks(CHUNK_BYTES).enumerate();
             chunks.extend(pieces.map(|(at, piece)| chunk(id.digest, at * CHUNK_BYTES, piece)));
         }
@@ -135,17 +135,17 @@
         chunks
     }
 
-    /// Puts the configuration together.
+    /// Decodes the configuration.
     ///
     /// # Errors
-    /// Fails if the parts are not those of a configuration.
+    /// Fails if the parts do not form a valid configuration.
     pub fn decode(&self) -> Result<Configuration, TransferError> {
         let (mut limits, mut routes) = (ClientLimits::default(), Vec::new());
         let (mut tenants, mut services) = (Vec::new(), Vec::new());
         for (_, bytes) in &self.parts {
             match postcard::from_bytes(bytes)? {
-                Part::Routes(its_limits, its_routes) => (limits, routes) = (its_limits, its_routes),
-                Part::Tenants(its_tenants) => tenants = its_tenants,
+                Part::Routes(new_limits, new_routes) => (limits, routes) = (new_limits, new_routes),
+                Part::Tenants(new_tenants) => tenants = new_tenants,
                 Part::Service(service) => services.push(service),
             }
         }
@@ -155,51 +155,51 @@
     }
 }
 
-/// A part of which some bytes have come.
+/// A partially received part.
 #[derive(Debug)]
 struct Partial {
     bytes: Vec<u8>,
-    /// Chunks by the offset of their first byte.
-    come: BTreeMap<u32, usize>,
+    /// Lengths of the received chunks, by offset.
+    received: BTreeMap<u32, usize>,
 }
 
 impl Partial {
-    fn is_whole(&self) -> bool {
-        self.come.values().sum::<usize>() == self.bytes.len()
+    fn is_complete(&self) -> bool {
+        self.received.values().sum::<usize>() == self.bytes.len()
     }
 }
 
-/// Puts chunks of a version together, whichever order they come in.
+/// Reassembles a configuration from chunks, received in any order.
 #[derive(Debug, Default)]
 pub struct Assembly {
     version: u64,
     ids: Vec<PartId>,
     partial: BTreeMap<u64, Partial>,
-    whole: BTreeMap<u64, Vec<u8>>,
+    complete_parts: BTreeMap<u64, Vec<u8>>,
 }
 
 impl Assembly {
-    /// Begins with the parts of the configuration in force.
+    /// Creates an assembly that already has the parts of the configuration in force.
     pub fn new(known: &EncodedConfiguration) -> Self {
-        let whole = known.parts.iter();
+        let complete = known.parts.iter();
         Self {
-            whole: whole
+            complete_parts: complete
                 .map(|(id, bytes)| (id.digest, bytes.clone()))
                 .collect(),
             ..Self::default()
         }
     }
 
-    /// Digests of the parts that are whole.
+    /// Digests of the complete parts.
     pub fn known(&self) -> Vec<u64> {
-        self.whole.keys().copied().collect()
+        self.complete_parts.keys().copied().collect()
     }
 
-    /// Takes in a chunk. Returns the configuration's parts once all are there.
-    pub fn take(&mut self, chunk: &ConfigurationChunk) -> Option<EncodedConfiguration> {
-        let is_sane = chunk.parts.len() <= MAX_PARTS
+    /// Adds a chunk. Returns the encoded configuration once all parts are complete.
+    pub fn add(&mut self, chunk: &ConfigurationChunk) -> Option<EncodedConfiguration> {
+        let is_valid = chunk.parts.len() <= MAX_PARTS
             && chunk.parts.iter().all(|id| id.length <= MAX_PART_BYTES);
-        if chunk.version < self.version || !is_sane {
+        if chunk.version < self.version || !is_valid {
             return None;
         }
         if chunk.version > self.version {
@@ -207,13 +207,13 @@
             self.ids.clone_from(&chunk.parts);
         }
         if !chunk.bytes.is_empty() {
-            self.take_bytes(chunk);
+            self.add_bytes(chunk);
         }
         self.complete()
     }
 
-    fn take_bytes(&mut self, chunk: &ConfigurationChunk) {
-        if self.whole.contains_key(&chunk.digest) {
+    fn add_bytes(&mut self, chunk: &ConfigurationChunk) {
+        if self.complete_parts.contains_key(&chunk.digest) {
             return;
         }
         let Some(id) = self.ids.iter().find(|id| id.digest == chunk.digest) else {
@@ -222,7 +222,7 @@
         let length = usize::try_from(id.length).unwrap_or(0);
         let partial = self.partial.entry(id.digest).or_insert_with(|| Partial {
             bytes: vec![0; length],
-            come: BTreeMap::new(),
+            received: BTreeMap::new(),
         });
         let begin = usize::try_from(chunk.offset).unwrap_or(usize::MAX);
         let Some(end) = begin
@@ -232,14 +232,14 @@
             return;
         };
         partial.bytes[begin..end].copy_from_slice(&chunk.bytes);
-        partial.come.insert(chunk.offset, chunk.bytes.len());
-        if !partial.is_whole() {
+        partial.received.insert(chunk.offset, chunk.bytes.len());
+        if !partial.is_complete() {
             return;
         }
         if let Some(partial) = self.partial.remove(&chunk.digest)
             && xxh3_64(&partial.bytes) == chunk.digest
         {
-            self.whole.insert(chunk.digest, partial.bytes);
+            self.complete_parts.insert(chunk.digest, partial.bytes);
         }
     }
 
@@ -247,7 +247,7 @@
         if self.ids.is_empty() {
             return None;
         }
-        let part = |id: &PartId| Some((*id, self.whole.get(&id.digest)?.clone()));
+        let part = |id: &PartId| Some((*id, self.complete_parts.get(&id.digest)?.clone()));
         let parts: Option<Vec<(PartId, Vec<u8>)>> = self.ids.iter().map(part).collect();
         Some(EncodedConfiguration {
             version: self.version,
--- a/crates/routing/src/dissemination.rs
+++ b/crates/routing/src/dissemination.rs
@@ -1,12 +1,12 @@
-//! What the coordinator tells which member, and when.
+//! Dissemination of state from the coordinator to the members.
 //!
-//! For each member the coordinator keeps how far its messages have brought it. A change is told once; a
-//! member that has lost a message says so, and what it lacks is told again. Without news a member gets a
-//! heartbeat, which shows a loss too. The number of messages is bounded for any number of members.
+//! The coordinator tracks the state that each member has been sent. A change is sent once; a member that has lost a
+//! message reports a gap, and the missing state is resent. Without updates a member is sent heartbeats, by which it
+//! also detects a loss. The message rate is bounded for any number of members.
 //!
-//! A member that a coordinator has told nothing yet sends digests of what it knows, and is told what differs. One that
-//! is still reading the store's list is waited for: after all daemons have started anew, telling each of them the whole
-//! state would fill the coordinator's link for longer than the reads take.
+//! A member that has not been sent anything by a coordinator sends digests of what it knows, and is sent the
+//! differences. The coordinator waits for a member that is still reading the store's list: after a restart of all
+//! daemons, sending each of them the full state would saturate the coordinator's link for longer than the reads take.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -24,29 +24,29 @@
 use crate::runners::RunnerTable;
 use crate::standby::{StandbyPlace, Standbys};
 
-/// Time between two messages to a member without news.
+/// Interval between messages to a member for which there are no updates.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
-/// Time between two messages to a member with news of holdings, for each member that there is.
-const NEWS_INTERVAL_A_MEMBER: Duration = Duration::from_micros(2_500);
-/// Time between two rounds in which a member is told parts of what one round does not hold.
+/// Interval between messages with updated holdings to one member, multiplied by the number of members.
+const UPDATE_INTERVAL_PER_MEMBER: Duration = Duration::from_micros(2_500);
+/// Interval between rounds for a member whose pending state does not fit into one round.
 const PARTS_INTERVAL: Duration = Duration::from_millis(50);
-/// Time between two messages to a member that hold the loads of runners, if the link has room for them.
+/// Minimum interval between messages with runner loads to one member; longer if the link lacks capacity.
 const LOADS_INTERVAL: Duration = Duration::from_millis(200);
-/// Part of what may be sent to members that loads of runners may fill.
+/// Share of the bandwidth for members that runner loads may use.
 const LOADS_SHARE: f64 = 0.2;
-/// Longest time for which a member that has no list of runners yet is left to read the store's. With 300 daemons that
-/// start at once before 3,000 runners the last page came after 5.5 s, over a link of 1,000 Mbit/s from the store.
-const LONGEST_PATIENCE: Duration = Duration::from_secs(8);
-/// Time for which digests of a member count that was not told anything.
+/// Maximum time to wait for a member that has no list of runners yet to read the store's list. With 300 daemons
+/// starting at once, 3,000 runners and a link of 1,000 Mbit/s from the store, the last page arrived after 5.5 s.
+const MAX_LIST_READ_TIMEOUT: Duration = Duration::from_secs(8);
+/// Validity of the digests of a member that has not been sent anything.
 const SUMMARY_VALIDITY: Duration = Duration::from_secs(5);
-/// Time between two messages to a member that hold the addresses of all members.
+/// Minimum interval between messages with the addresses of all members to one member.
 const MEMBERS_INTERVAL: Duration = Duration::from_secs(1);
-/// Time between two messages to a member that name the daemons through which it can send when it does not hear the
-/// coordinator: five addresses, so that the time may be long, and shorter than any cut is likely to follow a change.
+/// Interval between messages with the relay addresses to one member. A message has five addresses. The interval may be
+/// long, but must be shorter than the likely time from a change of relays to a following network partition.
 const RELAYS_INTERVAL: Duration = Duration::from_secs(4);
-/// Time between two looks at which members stand by.
+/// Interval between selections of the standbys.
 const STANDBYS_INTERVAL: Duration = Duration::from_millis(500);
-/// Time after which a member that still knows less than it was told has lost a message.
+/// Time after which a member that has not acknowledged an update is assumed to have lost it.
 const ACKNOWLEDGEMENT_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// A message to a member.
@@ -54,46 +54,46 @@
 pub struct Outgoing {
     /// The member.
     pub member: String,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    /// What it is told.
+    /// Content of the message.
     pub direction: Direction,
 }
 
-/// How far a member has been told.
+/// State that has been sent to a member.
 #[derive(Clone, Debug, Default)]
 struct Progress {
-    /// Version of the holdings that it has with what it was told.
+    /// Version of the holdings that it has once it has received all messages.
     holdings_version: u64,
-    /// What it knew before it was told anything.
+    /// Holdings that it knew before it was sent any.
     known_already: KnownAlready,
-    /// The last round did not hold all that it lacks.
-    lacks_more: bool,
-    /// When it was first heard.
+    /// State is still pending after the last round.
+    has_pending: bool,
+    /// Time of its first message.
     first_at: Timestamp,
-    /// The store's revision up to which it was told all changes of runners.
+    /// Store revision up to which it has been sent all runner changes.
     runners_revision: u64,
-    /// It has said that it knows a list of runners.
+    /// It has reported that it has a list of runners.
     has_list: bool,
-    /// It has said that it was told something under the coordinator's term.
+    /// It has acknowledged a message of the coordinator's current term.
     is_acknowledged: bool,
-    /// What there was to be told when it was told last.
+    /// State of the coordinator at the time of the last message.
     placement_version: u64,
     configuration_version: u64,
     membership_revision: u64,
     standby: StandbyPlace,
-    told_at: Timestamp,
-    /// When it was sent a heartbeat alone, for want of room on the link.
+    sent_at: Timestamp,
+    /// Time of the last bare heartbeat, sent for lack of link capacity.
     heartbeat_at: Timestamp,
-    /// When it was told something new.
-    news_at: Timestamp,
+    /// Time of the last message with new state.
+    updated_at: Timestamp,
     loads_at: Timestamp,
     members_at: Timestamp,
     relays_at: Option<Timestamp>,
 }
 
 impl Progress {
-    /// A member that was told nothing yet.
+    /// State of a member that has not been sent anything yet.
     fn new(known: KnownState, term: u64, now: Timestamp) -> Self {
         let same_term = known.term == term;
         Self {
@@ -106,70 +106,75 @@
         }
     }
 
-    /// Whether a member that says this goes on from what it was told under a term. If not, it has been told nothing yet, or
-    /// its process has started anew: a process never forgets its list.
-    fn goes_on(&self, known: KnownState, term: u64) -> bool {
+    /// Whether the state reported by a member continues what it was sent in this term. Otherwise it has not received
+    /// anything yet, or its process has restarted: a running process never loses its list.
+    fn continues_from(&self, known: KnownState, term: u64) -> bool {
         let has_lost_list = self.has_list && known.runners_revision == 0;
         known.term == term && !has_lost_list
     }
 
-    /// The member goes on from what it was told.
-    fn note_known(&mut self, known: KnownState, now: Timestamp) {
+    /// Records an acknowledgement of a member.
+    fn record_acknowledgement(&mut self, known: KnownState, now: Timestamp) {
         self.is_acknowledged = true;
         self.has_list |= known.runners_revision > 0;
-        if now.since(self.news_at) >= ACKNOWLEDGEMENT_TIMEOUT {
-            self.take_back(known);
+        if now.since(self.updated_at) >= ACKNOWLEDGEMENT_TIMEOUT {
+            self.roll_back(known);
         }
     }
 
-    /// Tells what the member does not know again.
-    fn take_back(&mut self, known: KnownState) {
+    /// Rolls back to the state known to the member, so that the rest is resent.
+    fn roll_back(&mut self, known: KnownState) {
         self.holdings_version = self.holdings_version.min(known.holdings_version);
         self.runners_revision = self.runners_revision.min(known.runners_revision);
     }
 
-    /// Whether the member is to be told something now.
+    /// Whether a message to the member is due.
     fn is_due(
         &self,
         header: &Direction,
         placement_version: u64,
-        news_interval: Duration,
+        update_interval: Duration,
         now: Timestamp,
     ) -> bool {
-        let age = now.since(self.told_at);
+        let age = now.since(self.sent_at);
         age >= HEARTBEAT_INTERVAL
             || self.configuration_version != header.store.configuration_version
             || self.membership_revision != header.store.membership_revision
             || self.standby != header.standby
-            || (self.lacks_more && age >= PARTS_INTERVAL)
-            || (self.placement_version != placement_version && age >= news_interval)
+            || (self.has_pending && age >= PARTS_INTERVAL)
+            || (self.placement_version != placement_version && age >= update_interval)
     }
 
-    /// Whether the member still reads the store's list, and is left to it.
-    fn reads_list(&self, known: KnownState, patience: Duration, now: Timestamp) -> bool {
-        known.runners_revision == 0 && now.since(self.first_at) < patience
+    /// Whether the member is still reading the store's list and is given time to finish.
+    fn is_reading_list(
+        &self,
+        known: KnownState,
+        list_read_timeout: Duration,
+        now: Timestamp,
+    ) -> bool {
+        known.runners_revision == 0 && now.since(self.first_at) < list_read_timeout
     }
 
-    fn note_told(&mut self, header: &Direction, placement_version: u64, now: Timestamp) {
+    fn record_sent(&mut self, header: &Direction, placement_version: u64, now: Timestamp) {
         if self.membership_revision != header.store.membership_revision {
-            self.news_at = now;
+            self.updated_at = now;
         }
         self.placement_version = placement_version;
         self.configuration_version = header.store.configuration_version;
         self.membership_revision = header.store.membership_revision;
         self.standby = header.standby;
-        self.told_at = now;
+        self.sent_at = now;
     }
 }
 
-/// What the members have been told under one term.
+/// Tracks and schedules the messages to all members during one term.
 #[derive(Debug)]
 pub struct Dissemination {
     term: u64,
     progress: HashMap<String, Progress>,
-    /// Members whose requests wait and that have not been answered.
+    /// Members with waiting requests that have not been answered yet.
     unanswered: BTreeSet<String>,
-    /// What members know that were told nothing yet, and when they have said so.
+    /// Digests from members that have not been sent anything yet, with the time of receipt.
     summaries: HashMap<String, (HoldingsDigests, Timestamp)>,
     standbys: Standbys,
     standbys_at: Option<Timestamp>,
@@ -177,7 +182,7 @@
 }
 
 impl Dissemination {
-    /// A coordinator that has told nothing yet, on a link of a speed in Mbit/s; 0 if it was not told.
+    /// State of a new coordinator; `link` is the link speed in Mbit/s, or 0 if it is not known.
     pub fn new(term: u64, link: u32, now: Timestamp) -> Self {
         Self {
             term,
@@ -190,7 +195,7 @@
         }
     }
 
-    /// Addresses of the standbys, the first to act first.
+    /// Addresses of the standbys, in order of succession.
     pub fn standby_addresses(&self, placement: &Placement, now: Timestamp) -> Vec<SocketAddr> {
         let members: HashMap<String, SocketAddr> = placement.members(now).into_iter().collect();
         let names = self.standbys.names().iter();
@@ -199,7 +204,7 @@
             .collect()
     }
 
-    /// Chooses the standbys again, if that is due.
+    /// Reselects the standbys, if due.
     fn choose_standbys(&mut self, placement: &Placement, own: SocketAddr, now: Timestamp) {
         let is_due = |at: Timestamp| now.since(at) >= STANDBYS_INTERVAL;
         if self.standbys_at.is_none_or(is_due) {
@@ -208,16 +213,16 @@
         }
     }
 
-    /// A member has said what it knows. Returns whether it is a new one.
-    pub fn heard(&mut self, member: &str, known: KnownState, now: Timestamp) -> bool {
+    /// Records the state reported by a member. Returns whether the member is new.
+    pub fn record_known_state(&mut self, member: &str, known: KnownState, now: Timestamp) -> bool {
         let Some(progress) = self.progress.get_mut(member) else {
             return true;
         };
-        if progress.goes_on(known, self.term) {
-            progress.note_known(known, now);
+        if progress.continues_from(known, self.term) {
+            progress.record_acknowledgement(known, now);
             return false;
         }
-        // One that has not acknowledged anything yet is still the same process, which is not waited for anew.
+        // A member that has not acknowledged anything yet is still the same process; the wait does not restart.
         let first_at = if progress.is_acknowledged {
             now
         } else {
@@ -227,28 +232,28 @@
         true
     }
 
-    /// A member has said what it knows of what runners hold.
-    pub fn heard_summary(&mut self, summary: HoldingsSummary, now: Timestamp) {
+    /// Records the holdings digests reported by a member.
+    pub fn record_summary(&mut self, summary: HoldingsSummary, now: Timestamp) {
         if summary.term == self.term {
             let known = (summary.digests, now);
             self.summaries.insert(summary.from, known);
         }
     }
 
-    /// A member has said that it has lost a message.
-    pub fn has_gap(&mut self, member: &str, known: KnownState) {
+    /// Records that a member reported a gap, and schedules a resend.
+    pub fn record_gap(&mut self, member: &str, known: KnownState) {
         if let Some(progress) = self.progress.get_mut(member) {
-            progress.take_back(known);
+            progress.roll_back(known);
         }
-        self.answer_soon(member);
+        self.schedule_message(member);
     }
 
-    /// A member is to be told something after the next plan.
-    pub fn answer_soon(&mut self, member: &str) {
+    /// Schedules a message to a member after the next placement plan.
+    pub fn schedule_message(&mut self, member: &str) {
         self.unanswered.insert(member.to_owned());
     }
 
-    /// The messages that are due, which count as told.
+    /// Returns the messages that are due, and records them as sent.
     pub fn messages(
         &mut self,
         placement: &Placement,
@@ -265,13 +270,13 @@
         self.summaries
             .retain(|_, (_, at)| now.since(*at) < SUMMARY_VALIDITY);
         let count = u32::try_from(members.len()).unwrap_or(u32::MAX);
-        let news_interval = NEWS_INTERVAL_A_MEMBER * count;
+        let update_interval = UPDATE_INTERVAL_PER_MEMBER * count;
         let addresses = members.iter().map(|(_, address)| *address).collect();
         let relays = self.standby_addresses(placement, now);
         let mut round = Round::new(placement, runners, addresses, relays, now);
-        round.patience = self.patience(&round);
-        // If the link has no room for all, nobody is left out for long.
-        members.sort_by_key(|(name, _)| self.progress.get(name).map(|it| it.told_at));
+        round.list_read_timeout = self.list_read_timeout(&round);
+        // Serves the members with the oldest message first, so that none starves when the link is saturated.
+        members.sort_by_key(|(name, _)| self.progress.get(name).map(|it| it.sent_at));
         let mut messages = Vec::new();
         for (member, address) in members {
             let own_header = Direction {
@@ -288,7 +293,7 @@
                 continue;
             }
             let is_due = self.progress.get(&member).is_none_or(|progress| {
-                progress.is_due(&own_header, placement.version(), news_interval, now)
+                progress.is_due(&own_header, placement.version(), update_interval, now)
             });
             if !self.unanswered.remove(&member) && !is_due {
                 continue;
@@ -305,8 +310,9 @@
         messages
     }
 
-    /// What a member is told that is due a heartbeat while the link has no room for news: a member that hears nothing
-    /// takes the coordinator for gone, and refuses the requests that wait for it. At 300 members it is 66 KB a second.
+    /// Heartbeat for a member while the link has no capacity for updates, if due. A member without heartbeats assumes
+    /// that the coordinator has failed, and rejects the requests waiting for it. With 300 members this takes 66 KB per
+    /// second.
     fn bare_heartbeat(
         &mut self,
         member: &str,
@@ -317,7 +323,7 @@
         let known = placement.known_by(member)?;
         let progress = self.progress.entry(member.to_owned());
         let progress = progress.or_insert_with(|| Progress::new(known, header.term, now));
-        let last_at = progress.told_at.max(progress.heartbeat_at);
+        let last_at = progress.sent_at.max(progress.heartbeat_at);
         if now.since(last_at) < HEARTBEAT_INTERVAL {
             return None;
         }
@@ -331,22 +337,22 @@
         Some(direction)
     }
 
-    /// How long a member that has no list of runners is left to read the store's: as long as it would take to tell
-    /// everything to all, which is hardly any time in a small fleet.
-    fn patience(&self, round: &Round<'_>) -> Duration {
+    /// Time to wait for a member without a list of runners to read the store's list: the time that sending the full
+    /// state to all members would take, which is negligible in a small fleet.
+    fn list_read_timeout(&self, round: &Round<'_>) -> Duration {
         let bytes = pacing::bytes_of_everything(round.runners.iter().count());
         let everything = self.pacer.time_for(bytes * round.addresses.len());
-        everything.min(LONGEST_PATIENCE)
+        everything.min(MAX_LIST_READ_TIMEOUT)
     }
 
-    /// Time between two messages to a member that hold the loads of runners.
+    /// Interval between messages with runner loads to one member.
     fn loads_interval(&self, round: &mut Round<'_>) -> Duration {
         let bytes = pacing::bytes_of_loads(round.loads().len());
         let everywhere = self.pacer.time_for(bytes * round.addresses.len());
         LOADS_INTERVAL.max(everywhere.div_f64(LOADS_SHARE))
     }
 
-    /// What a member is told now, in messages that fit a datagram each.
+    /// Messages that a member is sent now; each fits into a datagram.
     fn directions(
         &mut self,
         member: &str,
@@ -361,16 +367,16 @@
         let progress = self.progress.entry(member.to_owned());
         let progress = progress.or_insert_with(|| Progress::new(known, header.term, now));
         progress.runners_revision = progress.runners_revision.max(known.runners_revision);
-        let reads_list = progress.reads_list(known, round.patience, now);
+        let is_reading_list = progress.is_reading_list(known, round.list_read_timeout, now);
         let after = progress.holdings_version;
         if after == 0
-            && !reads_list
+            && !is_reading_list
             && placement.has_runners()
             && let Some((digests, _)) = self.summaries.remove(member)
         {
             progress.known_already = placement.known_already(&digests, round.snapshot());
         }
-        let mut directions = if reads_list {
+        let mut directions = if is_reading_list {
             vec![Direction {
                 holdings_after: after,
                 holdings_version: after,
@@ -382,19 +388,19 @@
         if let Some(last) = directions.last() {
             progress.holdings_version = last.holdings_version;
         }
-        progress.lacks_more = !reads_list
+        progress.has_pending = !is_reading_list
             && placement.has_changed_since(progress.holdings_version, &progress.known_already);
         if progress.holdings_version != after {
-            progress.news_at = now;
+            progress.updated_at = now;
         }
         if let Some(first) = directions.first_mut() {
             let waiting = placement.waited_for_by(member).iter();
             first.outlooks = waiting
                 .filter_map(|waiting| round.outlook(&waiting.requirement))
                 .collect();
-            let lacks_members =
+            let needs_members =
                 header.standby.stands_by() == Some(true) && known.members != header.daemons;
-            if lacks_members && now.since(progress.members_at) >= MEMBERS_INTERVAL {
+            if needs_members && now.since(progress.members_at) >= MEMBERS_INTERVAL {
                 progress.members_at = now;
                 first.members = Some(round.addresses.clone());
             }
@@ -409,19 +415,19 @@
                 first.store_limits = Some(placement.store_limits());
             }
         }
-        if !reads_list && progress.runners_revision < header.store.membership_revision {
+        if !is_reading_list && progress.runners_revision < header.store.membership_revision {
             let updates = round.updates_for(progress.runners_revision, known);
-            // Without the changes the member reads the store.
+            // If the changes are not available, the member reads the store.
             let until = updates.last().map(|update| update.until);
             progress.runners_revision = until.unwrap_or(header.store.membership_revision);
             add_updates(&mut directions, updates, header);
         }
-        progress.note_told(header, placement.version(), now);
+        progress.record_sent(header, placement.version(), now);
         directions
     }
 }
 
-/// One round of messages. What several members are told alike is found once.
+/// One round of messages; caches content that is shared between members.
 struct Round<'a> {
     placement: &'a Placement,
     runners: &'a RunnerTable,
@@ -432,8 +438,8 @@
     digest: u64,
     updates: HashMap<u64, Vec<MembershipUpdate>>,
     snapshot: Option<HoldingsSnapshot>,
-    /// How long a member that has no list of runners is left to read the store's.
-    patience: Duration,
+    /// Time to wait for a member without a list of runners to read the store's list.
+    list_read_timeout: Duration,
     outlooks: Option<Outlooks<'a>>,
 }
 
@@ -455,7 +461,7 @@
             digest: runners.digest(),
             updates: HashMap::new(),
             snapshot: None,
-            patience: Duration::ZERO,
+            list_read_timeout: Duration::ZERO,
             outlooks: None,
         }
     }
@@ -471,9 +477,9 @@
             .get_or_insert_with(|| placement.holdings_snapshot())
     }
 
-    /// What a member that was told all changes up to a revision must hear of the runners; nothing before the first
-    /// list. A coordinator that has just started cannot tell what has changed since; if the member has the same
-    /// runners, it is told just that.
+    /// Runner updates for a member that has been sent all changes up to a revision; empty before the first list was
+    /// read. A coordinator that has just started does not know the changes since that revision; if the member has the
+    /// same runners, it is only sent a confirmation.
     fn updates_for(&mut self, revision: u64, known: KnownState) -> Vec<MembershipUpdate> {
         let runners = self.runners;
         let updates = self.updates.entry(revision);
@@ -481,8 +487,8 @@
             updates.or_insert_with(|| runners.updates_after(revision).unwrap_or_default());
         let is_whole = updates.first().is_some_and(MembershipUpdate::is_whole);
         let knows_all = known.runners_revision == revision && known.runners_digest == self.digest;
-        let knows_spells = !runners.has_spell_after(revision);
-        if is_whole && revision > 0 && knows_all && knows_spells {
+        let knows_cold_periods = !runners.has_spell_after(revision);
+        if is_whole && revision > 0 && knows_all && knows_cold_periods {
             return vec![runners.confirmation(revision)];
         }
         updates.clone()
@@ -495,7 +501,7 @@
     }
 }
 
-/// Adds changes of runners, the first to the first message and each other one as a message of its own.
+/// Adds runner updates: the first one to the first message, and each other one as a separate message.
 fn add_updates(
     directions: &mut Vec<Direction>,
     updates: Vec<MembershipUpdate>,
--- a/crates/routing/src/encoding.rs
+++ b/crates/routing/src/encoding.rs
@@ -1,138 +1,138 @@
-//! Messages as bytes: a version, the message in postcard, and numbered parts behind it.
+//! Wire encoding of messages: a version byte, the message in postcard, and trailing extensions.
 //!
-//! Builds run side by side while machines are replaced, so the bytes of a message never change. What a later build has to
-//! say besides stands in a part of its own behind the message, with a number and, from 16 on, a length: builds that do not know
-//! the number pass over it, and each number has a stated meaning where it is missing. The first builds read nothing behind a
-//! message. `docs/design/upgrades.md` tells what was weighed.
+//! Different builds run side by side during a rolling upgrade, so the encoding of a message never changes. Data added
+//! by a later build goes into an extension after the message, with a tag and, for tags from 16 on, a length. Builds
+//! that do not know a tag skip it, and every tag has a defined meaning when it is absent. The first builds ignore all
+//! bytes after the message. `docs/design/upgrades.md` discusses the alternatives.
 //!
-//! Daemons know revisions as ordered ones ([`StoreRevision::ordered`]), which hold the store's era. Builds before those
-//! that know of eras send and expect the store's own numbers. So all daemons send numbers that such builds can use (the
-//! first era in which a daemon has known the store has the store's own), and a part from which builds that know of eras
-//! read the revisions again. A message without any part is from one of those before.
+//! Internally, revisions are ordered ones ([`StoreRevision::ordered`]), which include the store's era. Legacy builds,
+//! from before eras were introduced, send and expect the store's own numbers. All daemons therefore send numbers that
+//! legacy builds can use (in the first era known to a daemon these are the store's own numbers), plus an extension from
+//! which era-aware builds restore the ordered revisions. A message without any extension comes from a legacy build.
 //!
 //! [`StoreRevision::ordered`]: crate::revision::StoreRevision::ordered
 
 use thiserror::Error;
 
-use crate::earlier_numbers::EarlierNumbers;
+use crate::legacy_revisions::LegacyRevisions;
 use crate::membership::MembershipUpdate;
 use crate::messages::{Direction, Message, StoreNews};
 use crate::revision::{EraStart, StoreEra};
 
-/// First byte of every message. Builds with another one hear nothing of each other.
+/// First byte of every message. Builds with different versions reject each other's messages.
 pub const WIRE_VERSION: u8 = 7;
-/// Numbers below this one stand alone; from it on, a length and as many bytes follow.
-const FIRST_PART_WITH_CONTENT: u8 = 16;
-/// Part of a sender that has not known the store: revisions are ordered ones as they stand.
+/// Tags below this one have no payload; from this one on, a length and that many bytes follow the tag.
+const FIRST_TAG_WITH_PAYLOAD: u8 = 16;
+/// Tag: the sender has not seen the store yet; revisions in the message are ordered revisions.
 const STORE_UNKNOWN: u8 = 0;
-/// Part of a sender that has known the store in its first era, from which revisions are counted.
-const COUNTED_FROM_FIRST: u8 = 1;
-/// Part of a sender that has known the store since a later era; it holds the era.
-const COUNTED_FROM_ERA: u8 = 16;
-/// Part of a sender that has seen an era begin; it holds [`EarlierNumbers`].
-const COUNTED_OVER_ERAS: u8 = 17;
+/// Tag: the sender has seen the store in its first era, and revisions are numbered from that era.
+const NUMBERED_FROM_FIRST_ERA: u8 = 1;
+/// Tag: the sender first saw the store in a later era, which is the payload.
+const NUMBERED_FROM_ERA: u8 = 16;
+/// Tag: the sender has observed the start of an era; the payload is [`LegacyRevisions`].
+const NUMBERED_ACROSS_ERAS: u8 = 17;
 
-/// Why bytes are not a message.
+/// Error in decoding a message.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum MessageError {
-    /// No bytes.
-    #[error("the message is empty")]
+    /// The input is empty.
+    #[error("empty message")]
     Empty,
-    /// Another version of the encoding.
-    #[error("the message has wire version {0}, and this build reads {WIRE_VERSION}")]
+    /// The wire version is not supported.
+    #[error("unsupported wire version {0}, expected {WIRE_VERSION}")]
     Version(u8),
-    /// The bytes do not decode.
-    #[error("the message cannot be decoded: {0}")]
+    /// The bytes are not valid postcard data for a message.
+    #[error("cannot decode message: {0}")]
     Decode(#[from] postcard::Error),
 }
 
-/// What the parts behind a message say that this build knows.
+/// Contents of the extensions known to this build.
 #[derive(Clone, Debug, Default)]
-struct Parts {
-    /// What the numbers in the message stand for; `None` if they are ordered revisions, of a sender that has not known the
-    /// store.
-    numbers: Option<EarlierNumbers>,
+struct Extensions {
+    /// Mapping of the numbers in the message to ordered revisions; `None` if they already are ordered revisions, from a
+    /// sender that has not seen the store yet.
+    numbers: Option<LegacyRevisions>,
 }
 
-impl Parts {
-    /// Reads the parts behind a message; `None` if there are none.
+impl Extensions {
+    /// Decodes the extensions after a message; `None` if there are none.
     fn read(mut bytes: &[u8]) -> Result<Option<Self>, MessageError> {
         if bytes.is_empty() {
             return Ok(None);
         }
-        let mut parts = Self::default();
-        while let Some((&number, rest)) = bytes.split_first() {
-            let (content, rest) = if number < FIRST_PART_WITH_CONTENT {
+        let mut extensions = Self::default();
+        while let Some((&tag, rest)) = bytes.split_first() {
+            let (payload, rest) = if tag < FIRST_TAG_WITH_PAYLOAD {
                 (&[][..], rest)
             } else {
                 postcard::take_from_bytes(rest)?
             };
-            match number {
-                COUNTED_FROM_FIRST => {
-                    parts.numbers = Some(EarlierNumbers::since(StoreEra::FIRST));
+            match tag {
+                NUMBERED_FROM_FIRST_ERA => {
+                    extensions.numbers = Some(LegacyRevisions::since(StoreEra::FIRST));
                 }
-                COUNTED_FROM_ERA => {
-                    let era: u64 = postcard::from_bytes(content)?;
-                    parts.numbers = Some(EarlierNumbers::since(StoreEra::new(era)));
+                NUMBERED_FROM_ERA => {
+                    let era: u64 = postcard::from_bytes(payload)?;
+                    extensions.numbers = Some(LegacyRevisions::since(StoreEra::new(era)));
                 }
-                COUNTED_OVER_ERAS => parts.numbers = Some(postcard::from_bytes(content)?),
-                // That it is unknown, or a part of a later build.
+                NUMBERED_ACROSS_ERAS => extensions.numbers = Some(postcard::from_bytes(payload)?),
+                // `STORE_UNKNOWN`, or an extension of a later build.
                 _ => {}
             }
             bytes = rest;
         }
-        Ok(Some(parts))
+        Ok(Some(extensions))
     }
 }
 
-/// Appends the part that tells what the numbers in a message stand for.
-fn append_numbers(numbers: Option<&EarlierNumbers>, mut bytes: Vec<u8>) -> Vec<u8> {
-    let (number, content) = match numbers {
+/// Appends the extension that describes how revisions in the message are numbered.
+fn append_numbering(numbers: Option<&LegacyRevisions>, mut bytes: Vec<u8>) -> Vec<u8> {
+    let (tag, payload) = match numbers {
         None => (STORE_UNKNOWN, None),
-        Some(numbers) if numbers.has_later() => {
-            (COUNTED_OVER_ERAS, Some(postcard::to_stdvec(numbers)))
+        Some(numbers) if numbers.has_later_eras() => {
+            (NUMBERED_ACROSS_ERAS, Some(postcard::to_stdvec(numbers)))
         }
-        Some(numbers) if numbers.first_era() == StoreEra::FIRST => (COUNTED_FROM_FIRST, None),
+        Some(numbers) if numbers.first_era() == StoreEra::FIRST => (NUMBERED_FROM_FIRST_ERA, None),
         Some(numbers) => {
             let era = numbers.first_era();
-            (COUNTED_FROM_ERA, Some(postcard::to_stdvec(&era)))
+            (NUMBERED_FROM_ERA, Some(postcard::to_stdvec(&era)))
         }
     };
-    bytes.push(number);
-    let Some(content) = content else {
+    bytes.push(tag);
+    let Some(payload) = payload else {
         return bytes;
     };
-    let content = content.expect("parts encode into memory");
-    postcard::to_extend(&content, bytes).expect("parts encode into memory")
+    let payload = payload.expect("extensions encode into memory");
+    postcard::to_extend(&payload, bytes).expect("extensions encode into memory")
 }
 
-/// A message as it was read.
+/// A decoded message with the origin of its encoding.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Decoded {
     /// The message.
     pub message: Message,
-    /// Nothing stands behind it: its sender is of a build that knows of no parts.
+    /// It has no extensions, so the sender runs a build from before extensions were introduced.
     pub is_from_earlier_build: bool,
 }
 
-/// Turns messages into bytes and back, as a daemon does that has known the store from an era on.
+/// Encodes and decodes messages, with the numbering of revisions known to this daemon.
 #[derive(Clone, Debug, Default)]
 pub struct Encoding {
-    /// `None` before the store is known.
-    numbers: Option<EarlierNumbers>,
-    /// The ordered revision up to which this daemon knows all changes.
+    /// `None` until the era of the store is known.
+    numbers: Option<LegacyRevisions>,
+    /// Ordered revision up to which this daemon knows all changes.
     known_until: u64,
 }
 
 impl Encoding {
-    /// The store is in an era, which began so for this daemon.
+    /// Records the current era of the store and how it began for this daemon.
     pub fn note_era(&mut self, start: EraStart) {
-        let first = EarlierNumbers::since(start.first.era);
+        let first = LegacyRevisions::since(start.first.era);
         let numbers = self.numbers.get_or_insert(first);
         numbers.note_era(start);
     }
 
-    /// This daemon knows all changes up to an ordered revision.
+    /// Records the ordered revision up to which this daemon knows all changes.
     pub fn note_known(&mut self, revision: u64) {
         self.known_until = revision;
     }
@@ -143,7 +143,7 @@
     /// Never: every message can be encoded into memory.
     pub fn encode(&self, message: &Message) -> Vec<u8> {
         let bytes = match &self.numbers {
-            Some(numbers) if numbers.has_later() || numbers.first_era() > StoreEra::FIRST => {
+            Some(numbers) if numbers.has_later_eras() || numbers.first_era() > StoreEra::FIRST => {
                 let mut numbered = message.clone();
                 numbered.map_revisions(|revision| numbers.number(revision));
                 postcard::to_extend(&numbered, vec![WIRE_VERSION])
@@ -151,10 +151,10 @@
             _ => postcard::to_extend(message, vec![WIRE_VERSION]),
         };
         let bytes = bytes.expect("messages encode into memory");
-        append_numbers(self.numbers.as_ref(), bytes)
+        append_numbering(self.numbers.as_ref(), bytes)
     }
 
-    /// Decodes a message, and takes over from its sender how numbers go on over eras.
+    /// Decodes a message, and merges the sender's numbering of revisions into that of this daemon.
     ///
     /// # Errors
     /// Fails if the bytes are not a message of this version.
@@ -162,7 +162,7 @@
         self.read(bytes).map(|decoded| decoded.message)
     }
 
-    /// The same, with what shows of the sender's build.
+    /// Like [`Encoding::decode`], and also reports whether the sender runs an earlier build.
     ///
     /// # Errors
     /// Fails if the bytes are not a message of this version.
@@ -172,18 +172,18 @@
             return Err(MessageError::Version(version));
         }
         let (mut message, rest): (Message, &[u8]) = postcard::take_from_bytes(rest)?;
-        let parts = Parts::read(rest)?;
-        let is_from_earlier_build = parts.is_none();
-        match parts {
-            None => self.read_earlier(&mut message),
-            Some(Parts { numbers: None }) => {}
-            Some(Parts {
+        let extensions = Extensions::read(rest)?;
+        let is_from_earlier_build = extensions.is_none();
+        match extensions {
+            None => self.convert_legacy(&mut message),
+            Some(Extensions { numbers: None }) => {}
+            Some(Extensions {
                 numbers: Some(theirs),
             }) => {
                 message.map_revisions(|number| theirs.revision(number));
-                let first = EarlierNumbers::since(theirs.first_era());
+                let first = LegacyRevisions::since(theirs.first_era());
                 let own = self.numbers.get_or_insert(first);
-                own.take_over(&theirs);
+                own.merge(&theirs);
             }
         }
         Ok(Decoded {
@@ -192,9 +192,10 @@
         })
     }
 
-    /// Reads a message of a build before. What such a daemon knows it has mostly been told by others. What it tells of the
-    /// store may come from the store itself, in an era that is not told: it counts as of the first one.
-    fn read_earlier(&mut self, message: &mut Message) {
+    /// Converts the revisions in a message from a legacy build. The state that such a daemon reports as known mostly
+    /// came from other daemons. What it reports about the store may come from the store itself, in an unstated era; it
+    /// is taken as belonging to the first one.
+    fn convert_legacy(&mut self, message: &mut Message) {
         let Some(numbers) = &mut self.numbers else {
             return;
         };
@@ -209,7 +210,7 @@
 }
 
 impl Message {
-    /// The revision up to which the sender says that it knows all changes.
+    /// Revision up to which the sender reports that it knows all changes.
     fn known_revision(&self) -> Option<u64> {
         match self {
             Self::Usage(usage) => Some(usage.known.runners_revision),
@@ -218,7 +219,7 @@
         }
     }
 
-    /// Replaces all revisions of the store in it, but for 0, which stands for none.
+    /// Maps all store revisions in the message, except 0, which means none.
     fn map_revisions(&mut self, map: impl Fn(u64) -> u64) {
         let replace = |revision: &mut u64| {
             if *revision > 0 {
@@ -237,7 +238,7 @@
                 } = &mut **direction;
                 replace(&mut store.membership_revision);
                 replace(&mut evacuations.revision);
-                replace_in(membership.as_mut(), &replace);
+                replace_in_update(membership.as_mut(), &replace);
             }
             Self::StoreNews(news) => {
                 let StoreNews {
@@ -248,7 +249,7 @@
                 } = news;
                 replace(&mut state.membership_revision);
                 replace(&mut evacuations.revision);
-                replace_in(membership.as_mut(), &replace);
+                replace_in_update(membership.as_mut(), &replace);
             }
             Self::LeaseEnded { .. }
             | Self::UseReport(_)
@@ -268,7 +269,7 @@
     }
 }
 
-fn replace_in(update: Option<&mut MembershipUpdate>, replace: &impl Fn(&mut u64)) {
+fn replace_in_update(update: Option<&mut MembershipUpdate>, replace: &impl Fn(&mut u64)) {
     let Some(update) = update else { return };
     replace(&mut update.after);
     replace(&mut update.until);
--- a/crates/routing/src/evacuation.rs
+++ b/crates/routing/src/evacuation.rs
@@ -1,31 +1,31 @@
-//! Zones whose runners are to get nothing more until the operators take that back.
+//! Evacuated zones: their runners get no new requests until the operators end the evacuation.
 
 use serde::{Deserialize, Serialize};
 
 use crate::names::Zone;
 use crate::runners::Runner;
 
-/// The zones that are evacuated, as the store listed them.
+/// Evacuated zones, as listed by the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evacuations {
-    /// The store's revision of the list; 0 before the first.
+    /// Store revision of the list; 0 before the first list was read.
     pub revision: u64,
-    /// The zones. They are few.
+    /// The evacuated zones; the list is short.
     pub zones: Vec<Zone>,
 }
 
 impl Evacuations {
-    /// Takes in a list, unless a later one is known. Returns whether other zones are evacuated than before.
-    pub fn take_in(&mut self, listed: Self) -> bool {
+    /// Applies a list, unless the same or a later one is already known. Returns whether the evacuated zones changed.
+    pub fn update(&mut self, listed: Self) -> bool {
         if listed.revision <= self.revision {
             return false;
         }
-        let is_news = listed.zones != self.zones;
+        let has_changed = listed.zones != self.zones;
         *self = listed;
-        is_news
+        has_changed
     }
 
-    /// Whether a runner is to get nothing more.
+    /// Whether a runner is in an evacuated zone.
     pub fn includes(&self, runner: &Runner) -> bool {
         self.zones.contains(&runner.zone)
     }
--- a/crates/routing/src/events.rs
+++ b/crates/routing/src/events.rs
@@ -1,53 +1,53 @@
-//! Finds whole events in the bytes of an event stream.
+//! Splits the bytes of an event stream into complete events.
 
-/// Longest event that is held back until it is whole, in bytes.
+/// Maximum size of an incomplete event that is buffered, in bytes.
 pub const MAX_EVENT_BYTES: usize = 256 * 1024;
 
-/// Cuts a stream into whole events. Bytes of an event that has not ended are held back, so that a
-/// stream that breaks off can be continued with the event after the last whole one.
+/// Splits a stream into complete events. Bytes of an incomplete event are buffered, so that an interrupted stream can
+/// be resumed with the event after the last complete one.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
-    held: Vec<u8>,
+    buffer: Vec<u8>,
     last_id: Option<String>,
 }
 
 impl EventSplitter {
-    /// Takes bytes and returns all events that are whole now, as they came.
+    /// Appends bytes and returns the bytes of all events that are now complete, unchanged.
     pub fn push(&mut self, bytes: &[u8]) -> Vec<u8> {
-        self.held.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
         let mut end = 0;
-        while let Some(length) = find_event_end(&self.held[end..]) {
-            if let Some(id) = event_id(&self.held[end..end + length]) {
+        while let Some(length) = find_event_end(&self.buffer[end..]) {
+            if let Some(id) = event_id(&self.buffer[end..end + length]) {
                 self.last_id = Some(id);
             }
             end += length;
         }
-        let rest = self.held.split_off(end);
-        std::mem::replace(&mut self.held, rest)
+        let rest = self.buffer.split_off(end);
+        std::mem::replace(&mut self.buffer, rest)
     }
 
-    /// The identity of the last whole event.
+    /// Identifier of the last complete event.
     pub fn last_id(&self) -> Option<&str> {
         self.last_id.as_deref()
     }
 
-    /// Whether bytes of an event that has not ended are held back.
+    /// Whether an incomplete event is buffered.
     pub fn has_partial(&self) -> bool {
-        !self.held.is_empty()
+        !self.buffer.is_empty()
     }
 
-    /// Whether more is held back than any event should need.
+    /// Whether the incomplete event exceeds [`MAX_EVENT_BYTES`].
     pub fn is_oversized(&self) -> bool {
-        self.held.len() > MAX_EVENT_BYTES
+        self.buffer.len() > MAX_EVENT_BYTES
     }
 
-    /// Forgets the bytes of the event that has not ended.
+    /// Discards the buffered incomplete event.
     pub fn drop_partial(&mut self) {
-        self.held.clear();
+        self.buffer.clear();
     }
 }
 
-/// The value of the line `id:` of an event.
+/// Value of the `id:` line of an event.
 fn event_id(event: &[u8]) -> Option<String> {
     for line in event.split(|&byte| byte == b'\n') {
         let Some(value) = line.strip_prefix(b"id:") else {
@@ -59,7 +59,7 @@
     None
 }
 
-/// Length of the first whole event, its closing empty line included.
+/// Length of the first complete event, including its terminating empty line.
 fn find_event_end(bytes: &[u8]) -> Option<usize> {
     let mut line_start = 0;
     for (index, &byte) in bytes.iter().enumerate() {
--- a/crates/routing/src/messages.rs
+++ b/crates/routing/src/messages.rs
@@ -1,7 +1,7 @@
-//! Messages between daemons about runners and loads; [`crate::encoding`] turns them into bytes.
+//! Messages that daemons exchange about runners and loads; [`crate::encoding`] serializes them.
 //!
-//! Members tell the coordinator what they need and use; it tells them what is where. Every message
-//! holds whole values and no differences, so that datagrams may be lost, doubled or reordered.
+//! Members report demand and usage to the coordinator; the coordinator sends them the location of runners and models.
+//! Messages carry absolute values instead of deltas, so datagrams may be lost, duplicated or reordered.
 
 use std::net::SocketAddr;
 
@@ -24,235 +24,235 @@
 use crate::standby::StandbyPlace;
 use crate::strength::MachineStrength;
 
-/// A message.
+/// A message between two daemons.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// From a member to the coordinator: all that its requests need and use.
+    /// From a member to the coordinator: the full demand and usage of its requests.
     Usage(Usage),
-    /// From a member to the coordinator, at once when a request begins to wait.
+    /// From a member to the coordinator, sent immediately when a request starts to wait.
     Waiting(WaitNotice),
-    /// From the coordinator to a member.
+    /// From the coordinator to a member: cluster state.
     Direction(Box<Direction>),
-    /// From a daemon that coordinates no longer to the standbys.
+    /// From a former coordinator to the standbys.
     LeaseEnded {
         /// The term that has ended.
         term: u64,
     },
-    /// From a standby to all members while the coordinator does not tell of the store.
+    /// From a standby to all members while the coordinator does not report the state of the store.
     StoreNews(StoreNews),
-    /// From any daemon to the keepers of the quotas.
+    /// From any daemon to the quota keepers.
     UseReport(UseReport),
-    /// From a keeper of the quotas to all daemons.
+    /// From a quota keeper to all daemons.
     QuotaNews(QuotaNews),
-    /// From any daemon to the keeper that it was told of.
+    /// From any daemon to its assigned quota keeper.
     QuotaQuestions(QuotaQuestions),
-    /// The answer to that.
+    /// Reply to [`Message::QuotaQuestions`].
     QuotaAnswers(QuotaAnswers),
-    /// From a daemon that was told of a newer configuration to the one that told it.
+    /// Request for a newer configuration, sent to the daemon that announced it.
     ConfigurationWanted(ConfigurationWanted),
-    /// The answer to that, in parts.
+    /// Reply to [`Message::ConfigurationWanted`], one chunk per message.
     ConfigurationChunk(ConfigurationChunk),
-    /// From a member to a coordinator that has not told it what runners hold.
+    /// From a member to a coordinator from which it has not received runner holdings yet.
     HoldingsSummary(HoldingsSummary),
-    /// From a daemon whose requests show which ones crash runners to the keepers.
+    /// From a daemon to the keepers: outcomes of runs, which show the requests that crash runners.
     RunReports(Vec<RunReport>),
-    /// From any daemon to one that holds other requests in quarantine, or from a keeper to all daemons.
+    /// From any daemon to one whose set of quarantined requests differs, or from a keeper to all daemons.
     QuarantineNews(QuarantineNews),
-    /// From any daemon to one that passes it on, or from that one to the daemon for which it is meant.
+    /// From any daemon to a relay, or from the relay to the destination.
     Forwarded(Forwarded),
-    /// From any daemon to the coordinator: which requests for cold runners it would send.
+    /// From any daemon to the coordinator: requests for permits to send to cold runners.
     PermitQuestions(PermitQuestions),
-    /// The answer to that.
+    /// Reply to [`Message::PermitQuestions`].
     PermitAnswers(PermitAnswers),
-    /// From any daemon to the coordinator, and from that one to all others.
+    /// From any daemon to the coordinator, which distributes it to all others.
     RunnerNotices(RunnerNotices),
 }
 
 /// A request for a newer configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigurationWanted {
-    /// Where the answer goes.
+    /// Address to which the reply is sent.
     pub from: SocketAddr,
-    /// The oldest version that helps.
+    /// Lowest version that satisfies the request.
     pub version: u64,
-    /// Digests of the parts that the daemon has; see [`crate::configuration_transfer`].
+    /// Digests of the parts that the requester already has; see [`crate::configuration_transfer`].
     pub parts: Vec<u64>,
 }
 
-/// What a member knows of what runners hold before a coordinator has told it.
+/// Runner holdings known to a member before it receives them from the coordinator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HoldingsSummary {
     /// Name of the daemon.
     pub from: String,
     /// Term of the coordinator.
     pub term: u64,
-    /// Digests of what it knows.
+    /// Digests of the holdings that it knows.
     pub digests: HoldingsDigests,
 }
 
-/// What a standby tells of the store.
+/// State of the store as reported by a standby.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreNews {
-    /// Where the standby listens.
+    /// Address on which the standby listens.
     pub from: SocketAddr,
-    /// What it knows of the store.
+    /// State of the store as seen by the standby.
     pub state: StoreState,
-    /// The last changes of runners, if there were any.
+    /// Latest runner changes, if any.
     pub membership: Option<MembershipUpdate>,
-    /// The evacuated zones that it knows.
+    /// Evacuated zones known to the standby.
     pub evacuations: Evacuations,
-    /// Digest of what it holds in quarantine; see [`crate::quarantine::Quarantine::digest`].
+    /// Digest of its quarantine entries; see [`crate::quarantine::Quarantine::digest`].
     pub quarantine_digest: u64,
 }
 
-/// What a daemon that watches the store knows of it.
+/// State of the store as seen by a daemon that watches it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreState {
     /// Version of the configuration.
     pub configuration_version: u64,
-    /// The store's revision at which a runner last came, went, or began to drain.
+    /// Store revision at which a runner was last added or removed, or started draining.
     pub membership_revision: u64,
-    /// Time since the store last answered, in ms.
+    /// Time since the last response from the store, in ms.
     pub silence_ms: u32,
-    /// Time since the configuration was surely the newest, in ms; the largest number if it never was.
+    /// Time since the configuration was last confirmed to be the newest, in ms; `u32::MAX` if it never was.
     pub configuration_age_ms: u32,
 }
 
-/// What a member knows, so that the coordinator tells it only what is new.
+/// State already known to a member; the coordinator sends it only what is newer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KnownState {
-    /// Term of the coordinator that the next field is about.
+    /// Term of the coordinator to which `holdings_version` refers.
     pub term: u64,
     /// Version of the holdings.
     pub holdings_version: u64,
     /// Number of members; see [`Direction::members`].
     pub members: u32,
-    /// The store's revision up to which it knows all changes of runners; see [`Direction::membership`].
+    /// Store revision up to which it knows all runner changes; see [`Direction::membership`].
     pub runners_revision: u64,
-    /// Digest of the runners that it knows; see [`crate::runners::RunnerTable::digest`].
+    /// Digest of its runner table; see [`crate::runners::RunnerTable::digest`].
     pub runners_digest: u64,
 }
 
-/// What a member's requests wait for.
+/// Units for which a member's requests are waiting.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WaitNotice {
     /// Name of the daemon.
     pub from: String,
-    /// What it knows.
+    /// State that it already knows.
     pub known: KnownState,
-    /// It was told something that follows what it does not know: a message was lost.
+    /// It received an update whose predecessor is missing, so a message was lost.
     pub has_gap: bool,
-    /// What its requests wait for.
+    /// Units for which its requests are waiting.
     pub waiting: Vec<WaitingUnit>,
 }
 
-/// What a member needs and uses.
+/// Demand and usage of a member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
     /// Name of the daemon.
     pub from: String,
-    /// Where it hears the coordinator.
+    /// Address on which it receives messages from the coordinator.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone of the daemon.
     pub zone: Zone,
-    /// Its machine.
+    /// Capacity of its machine.
     pub strength: MachineStrength,
-    /// It stops, and so stands by for nothing.
+    /// It is shutting down and must not be chosen as a standby.
     pub is_stopping: bool,
-    /// What it knows.
+    /// State that it already knows.
     pub known: KnownState,
-    /// What its requests wait for.
+    /// Units for which its requests are waiting.
     pub waiting: Vec<WaitingUnit>,
-    /// What its requests have used lately.
+    /// Units used recently by its requests.
     pub used: Vec<UsedUnit>,
     /// Its requests in progress, by runner and model.
     pub running: Vec<RunningUnit>,
 }
 
-/// Requests that wait for a unit.
+/// Requests waiting for a unit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WaitingUnit {
-    /// The unit, within the homes of the requests.
+    /// The unit, restricted to the home regions of the requests.
     pub requirement: Requirement,
-    /// How many.
+    /// Number of requests.
     pub requests: u32,
-    /// Those of them that would be late even if a load began now.
+    /// Number of these requests that would miss their target even if a load started now.
     pub late: u32,
-    /// The most urgent rank among them.
+    /// Highest priority among them (lowest number).
     pub priority: u8,
 }
 
-/// Requests that have used a unit.
+/// Recent requests for a unit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsedUnit {
-    /// The unit, within the homes of the requests.
+    /// The unit, restricted to the home regions of the requests.
     pub requirement: Requirement,
-    /// Requests in the last seconds ([`USE_WINDOW_SECONDS`]).
+    /// Number of requests within the last [`USE_WINDOW_SECONDS`] seconds.
     pub requests: u32,
 }
 
 /// Length of the window of [`UsedUnit`], in seconds.
 pub const USE_WINDOW_SECONDS: u32 = 5;
 
-/// Requests in progress.
+/// Requests in progress for one unit on one runner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunningUnit {
     /// The runner.
     pub runner: RunnerId,
     /// The unit.
     pub unit: Unit,
-    /// How many.
+    /// Number of requests.
     pub requests: u32,
 }
 
-/// What the coordinator tells a member.
+/// State update from the coordinator to a member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Direction {
     /// Term of the coordinator.
     pub term: u64,
-    /// Its lease.
+    /// Lease of the coordinator.
     pub lease: LeasePulse,
-    /// Where it hears members.
+    /// Address on which the coordinator receives messages from members.
     pub address: SocketAddr,
-    /// Daemons that it has heard of lately, itself included.
+    /// Number of daemons it has heard from recently, including itself.
     pub daemons: u32,
-    /// The strongest of their machines.
+    /// Capacity of the strongest machine among these daemons.
     pub strongest: MachineStrength,
-    /// Place of the receiver among the standbys.
+    /// Position of the receiver in the order of standbys.
     pub standby: StandbyPlace,
-    /// What the coordinator knows of the store.
+    /// State of the store as seen by the coordinator.
     pub store: StoreState,
-    /// What there is to be known of quotas.
+    /// Current quota state.
     pub quota: QuotaNews,
-    /// The evacuated zones that the coordinator knows.
+    /// Evacuated zones known to the coordinator.
     pub evacuations: Evacuations,
-    /// Digest of what the coordinator holds in quarantine; see [`crate::quarantine::Quarantine::digest`].
+    /// Digest of the coordinator's quarantine entries; see [`crate::quarantine::Quarantine::digest`].
     pub quarantine_digest: u64,
-    /// Changes of runners that the receiver does not know, or a part of them.
+    /// Runner changes that the receiver is missing, or a part of them.
     pub membership: Option<MembershipUpdate>,
-    /// Where the members hear a new coordinator, if the receiver stands by and knows another number of them.
-    /// So a successor reaches also those that cannot read the lease.
+    /// Addresses of all members, sent if the receiver is a standby that knows a different number of members.
+    /// They let a successor reach members that cannot read the lease.
     pub members: Option<Vec<SocketAddr>>,
-    /// Daemons through which members can send to the coordinator when they do not hear it, if they are told again.
+    /// Daemons through which members can relay messages when the coordinator is unreachable; `None` if not resent.
     pub relays: Option<Vec<SocketAddr>>,
-    /// The holdings below follow this version.
+    /// Version on which the update in `holdings` is based.
     pub holdings_after: u64,
-    /// Version that a member has which knew `holdings_after` and takes in the holdings below.
+    /// Version of a member that knew `holdings_after`, after it has applied `holdings`.
     pub holdings_version: u64,
-    /// Runners whose holdings have changed since.
+    /// Runners whose holdings have changed since `holdings_after`.
     pub holdings: Vec<RunnerHoldings>,
-    /// When units that the member's requests wait for are ready.
+    /// Estimated readiness of the units for which the member's requests are waiting.
     pub outlooks: Vec<UnitOutlook>,
-    /// Requests in progress at runners that are filling up, all daemons together, if they are told again.
+    /// Requests in progress, summed over all daemons, on runners close to capacity; `None` if not resent.
     pub loads: Option<Vec<RunnerLoad>>,
-    /// Loads from the weight store that may be in flight, by service, if they are told again. A member keeps
-    /// them for the case that it coordinates later.
+    /// Limits on concurrent loads from the weight store, by service; `None` if not resent. Members keep them in case
+    /// they become coordinator.
     pub store_limits: Option<Vec<StoreLimit>>,
 }
 
 impl Direction {
-    /// What a coordinator tells that has nothing to tell of runners, members or zones: its lease, its address, the store
-    /// and the quotas.
+    /// A message without updates of runners, members or zones; it carries only the coordinator's lease and address and
+    /// the state of the store and the quotas.
     pub fn heartbeat(
         lease: LeasePulse,
         address: SocketAddr,
@@ -298,37 +298,37 @@
     }
 }
 
-/// How many loads from the weight store may be in flight for a service.
+/// Limit on concurrent loads from the weight store for one service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreLimit {
     /// The service.
     pub service: ServiceName,
-    /// Loads in flight at most.
+    /// Maximum number of concurrent loads.
     pub loads: u32,
-    /// More loads were seen to slow each other.
+    /// The limit was measured: more concurrent loads slowed each other down.
     pub is_measured: bool,
 }
 
-/// Requests in progress at a runner.
+/// Number of requests in progress on a runner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunnerLoad {
     /// The runner.
     pub runner: RunnerId,
-    /// How many.
+    /// Number of requests.
     pub requests: u32,
 }
 
-/// When a unit is ready.
+/// Estimated readiness of a unit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UnitOutlook {
-    /// The unit, within the homes of the requests.
+    /// The unit, restricted to the home regions of the requests.
     pub requirement: Requirement,
-    /// Time until it is ready, in ms.
+    /// Time until the unit is ready, in ms.
     pub ready_in_ms: u32,
 }
 
 impl Message {
-    /// What it is, for the counters. What the coordinator tells a member counts by the largest part that it can have.
+    /// Label for metrics. A [`Direction`] is labelled by the largest kind of content that it carries.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Usage(_) => "usage",
--- a/crates/routing/src/placement/mod.rs
+++ b/crates/routing/src/placement/mod.rs
@@ -27,7 +27,7 @@
 
 use crate::balance::is_worth_telling;
 use crate::configuration::{Configuration, Engine, ModelSpecification};
-use crate::holdings_digests::{HoldingsDigests, SameBuckets};
+use crate::holdings_digests::{HoldingsDigests, MatchingBuckets};
 use crate::locality::Regions;
 use crate::messages::{
     Direction, KnownState, RunnerLoad, StoreLimit, Usage, WaitNotice, WaitingUnit,
@@ -60,7 +60,7 @@
 #[derive(Clone, Debug)]
 struct Comparison {
     version: u64,
-    same: SameBuckets,
+    same: MatchingBuckets,
 }
 
 impl KnownAlready {
@@ -88,7 +88,7 @@
     fn compare(&self, digests: &HoldingsDigests) -> Comparison {
         Comparison {
             version: self.version,
-            same: self.digests.same_buckets(digests),
+            same: self.digests.matching_buckets(digests),
         }
     }
 }
@@ -377,7 +377,7 @@
 
     /// All holdings as they are now.
     pub fn holdings_snapshot(&self) -> HoldingsSnapshot {
-        let mut digests = HoldingsDigests::finest();
+        let mut digests = HoldingsDigests::with_max_buckets();
         for ledger in self.ledgers.values() {
             let announced = ledger.announced();
             let holdings = announced.holdings.iter();
--- a/crates/routing/src/revision.rs
+++ b/crates/routing/src/revision.rs
@@ -1,24 +1,24 @@
-//! Where in the history of the store something stands.
+//! Revisions of the store, ordered across restores from a backup.
 //!
-//! The store numbers its changes. When it has come back from a copy that lacks the last of them, it gives the same
-//! numbers out again, for other changes; which of these histories a number belongs to is told by the store's era, which
-//! rises each time. Only the two together put changes in an order.
+//! The store numbers its changes. After a restore from a backup that lacks the latest changes, it assigns the same
+//! numbers again to different changes. The store's era, which increases with each restore, tells these histories apart;
+//! only era and number together order changes.
 //!
-//! Daemons tell each other revisions as one number, [`StoreRevision::ordered`], which rises over eras too. In a store that
-//! never came back from a copy it is the store's own number.
+//! Daemons exchange revisions as a single number, [`StoreRevision::ordered`], which also increases across eras. For a
+//! store that was never restored it equals the store's own number.
 
 use std::fmt::{self, Display, Formatter};
 
 use serde::{Deserialize, Serialize};
 
-/// Bits of an ordered revision that hold the store's number: more changes than a store makes in 300 years at 100 a second.
+/// Bits of an ordered revision that hold the store's number: enough for 300 years at 100 changes per second.
 const NUMBER_BITS: u32 = 40;
 const MAX_NUMBER: u64 = (1 << NUMBER_BITS) - 1;
-/// Eras up to which terms, which are counted from the first revision of an era, are whole numbers that all encodings hold
-/// exactly: 2 to the power of 53.
+/// Highest era. Terms are counted from the first revision of an era, and must stay below 2^53 so that all encodings
+/// represent them exactly.
 const MAX_ERA: u64 = (1 << (53 - NUMBER_BITS)) - 1;
 
-/// Counts how often the store has come back from a copy.
+/// Number of times the store was restored from a backup.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -26,20 +26,20 @@
 pub struct StoreEra(u64);
 
 impl StoreEra {
-    /// The era of a store that never came back from a copy.
+    /// Era of a store that was never restored.
     pub const FIRST: Self = Self(0);
 
-    /// An era by its number.
+    /// Creates an era from its number.
     pub fn new(number: u64) -> Self {
         Self(number.min(MAX_ERA))
     }
 
-    /// The era of an ordered revision.
+    /// Era of an ordered revision.
     pub fn of(ordered: u64) -> Self {
         StoreRevision::from_ordered(ordered).era
     }
 
-    /// An ordered revision that no change of an earlier era reaches.
+    /// Ordered revision that is higher than any of an earlier era.
     pub fn start(self) -> u64 {
         self.0 << NUMBER_BITS
     }
@@ -51,22 +51,22 @@
     }
 }
 
-/// A revision of the store, with the era in which it was given out.
+/// A revision of the store, with the era in which it was assigned.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StoreRevision {
     /// The era.
     pub era: StoreEra,
-    /// The number that the store gave; it says nothing without the era.
+    /// Number assigned by the store; unique only within the era.
     pub number: u64,
 }
 
 impl StoreRevision {
-    /// The revision as one number, which is higher for a later change, also of a later era.
+    /// The revision as a single number, which increases with every change, also across eras.
     pub fn ordered(self) -> u64 {
         self.era.start() | self.number.min(MAX_NUMBER)
     }
 
-    /// The revision that an ordered one stands for.
+    /// Decodes an ordered revision.
     pub fn from_ordered(ordered: u64) -> Self {
         Self {
             era: StoreEra::new(ordered >> NUMBER_BITS),
@@ -75,7 +75,7 @@
     }
 }
 
-/// For logs: the number, with the era before it unless that is the first.
+/// Log format: the number, prefixed with the era unless it is the first.
 impl Display for StoreRevision {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
         if self.era == StoreEra::FIRST {
@@ -85,11 +85,11 @@
     }
 }
 
-/// How an era began for one daemon.
+/// Start of an era as observed by one daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EraStart {
-    /// The first revision of it that the daemon heard of; its number is 0 if that told none.
+    /// First revision of the era known to the daemon; its number is 0 if only the era is known.
     pub first: StoreRevision,
-    /// The ordered revision up to which it knew all changes of runners then; 0 if it knew none.
+    /// Ordered revision up to which the daemon knew all runner changes at that time; 0 if none.
     pub known_before: u64,
 }
--- a/crates/routing/tests/configuration_transfer.rs
+++ b/crates/routing/tests/configuration_transfer.rs
@@ -1,4 +1,4 @@
-//! Configurations as daemons pass them to each other.
+//! Tests of the transfer of configurations between daemons.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -86,15 +86,15 @@
 }
 
 #[test]
-fn a_changed_key_costs_little() {
+fn a_changed_key_transfers_few_bytes() {
     let old = EncodedConfiguration::of(&configuration(1, 20, 456, &["k1", "k2"]));
     let new = EncodedConfiguration::of(&configuration(2, 20, 456, &["k1"]));
     assert!(bytes(&new.chunks_for(&[])) > 5_000);
     let chunks = new.chunks_for(&old.digests());
     assert!(bytes(&chunks) < 200, "{}", bytes(&chunks));
     let mut assembly = Assembly::new(&old);
-    let whole = chunks.into_iter().find_map(|chunk| assembly.take(&chunk));
-    let decoded = whole.unwrap().decode().unwrap();
+    let complete = chunks.into_iter().find_map(|chunk| assembly.add(&chunk));
+    let decoded = complete.unwrap().decode().unwrap();
     assert_eq!(decoded.version, 2);
     let holds = |key: &[u8]| decoded.tenants().holder(&KeyDigest::of(key)).is_some();
     assert!(holds(b"k1") && !holds(b"k2"));
@@ -102,36 +102,37 @@
 }
 
 #[test]
-fn the_same_configuration_under_another_version_is_told() {
+fn an_unchanged_configuration_with_a_new_version_is_transferred() {
     let old = EncodedConfiguration::of(&configuration(1, 2, 2, &["k"]));
     let new = EncodedConfiguration::of(&configuration(7, 2, 2, &["k"]));
     let chunks = new.chunks_for(&old.digests());
     assert_eq!(chunks.len(), 1);
     let mut assembly = Assembly::new(&old);
-    assert_eq!(assembly.take(&chunks[0]).unwrap().version(), 7);
+    assert_eq!(assembly.add(&chunks[0]).unwrap().version(), 7);
 }
 
 #[test]
-fn chunks_that_lie_are_no_configuration() {
+fn corrupted_chunks_are_rejected() {
     let encoded = EncodedConfiguration::of(&configuration(1, 2, 2, &["k"]));
     let mut assembly = Assembly::new(&EncodedConfiguration::default());
     for mut chunk in encoded.chunks_for(&[]) {
         chunk.bytes[0] ^= 1;
-        assert!(assembly.take(&chunk).is_none());
+        assert!(assembly.add(&chunk).is_none());
     }
     let mut beyond = encoded.chunks_for(&[]).remove(0);
     beyond.offset = u32::MAX;
-    assert!(assembly.take(&beyond).is_none());
-    let mut endless = encoded.chunks_for(&[]).remove(0);
-    endless.version = 9;
-    endless.parts[0].length = u32::MAX;
-    assert!(assembly.take(&endless).is_none());
+    assert!(assembly.add(&beyond).is_none());
+    let mut oversized = encoded.chunks_for(&[]).remove(0);
+    oversized.version = 9;
+    oversized.parts[0].length = u32::MAX;
+    assert!(assembly.add(&oversized).is_none());
 }
 
 proptest! {
-    /// Chunks come in any order, some twice, some only when asked for again, and between those of another version.
+    /// Chunks arrive in any order, some duplicated, some only after another request, and interleaved with those of
+    /// another version.
     #[test]
-    fn whatever_order_chunks_come_in_the_configuration_is_whole(
+    fn a_configuration_is_reassembled_from_chunks_in_any_order(
         routes in 0_usize..60,
         models in 0_usize..80,
         order in any::<prop::sample::Index>(),
@@ -141,21 +142,21 @@
         let sent = configuration(5, routes, models, &["k1", "k2"]);
         let encoded = EncodedConfiguration::of(&sent);
         let mut assembly = Assembly::new(&old);
-        let mut whole = None;
+        let mut complete = None;
         for round in 0..3 {
             let mut chunks = encoded.chunks_for(&assembly.known());
             let middle = order.index(chunks.len());
             chunks.rotate_left(middle);
             for (index, chunk) in chunks.into_iter().enumerate() {
-                assembly.take(&old.chunks_for(&[])[0]);
+                assembly.add(&old.chunks_for(&[])[0]);
                 if round == 0 && lost[index % lost.len()] {
                     continue;
                 }
-                assembly.take(&chunk);
-                whole = assembly.take(&chunk).or(whole);
+                assembly.add(&chunk);
+                complete = assembly.add(&chunk).or(complete);
             }
         }
-        let decoded = whole.unwrap().decode().unwrap();
+        let decoded = complete.unwrap().decode().unwrap();
         prop_assert_eq!(decoded.version, 5);
         prop_assert_eq!(decoded.route_count(), routes);
         let known = decoded.service(&ServiceName::new("pool")).cloned();
--- a/crates/routing/tests/dissemination.rs
+++ b/crates/routing/tests/dissemination.rs
@@ -1,4 +1,4 @@
-//! What the coordinator tells its members, over links that lose messages.
+//! Tests of the messages from the coordinator to its members, over lossy links.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -22,8 +22,8 @@
 const TERM: u64 = 3;
 const STEP: Duration = Duration::from_millis(50);
 const MEMBERS: usize = 4;
-/// Time without loss after which every member must know everything.
-const CALM: Duration = Duration::from_millis(2_500);
+/// Time without message loss within which all members must converge.
+const CONVERGENCE_TIME: Duration = Duration::from_millis(2_500);
 
 fn configuration() -> Configuration {
     let specification = ModelSpecification {
@@ -71,20 +71,20 @@
     }
 }
 
-/// A member as far as it takes in what it is told.
+/// A member, reduced to the processing of messages from the coordinator.
 #[derive(Default)]
 struct Member {
     table: RunnerTable,
     holdings: BTreeMap<RunnerId, RunnerHoldings>,
     version: u64,
     has_gap: bool,
-    /// It says that it knows no term until it is told from the beginning.
-    awaits_beginning: bool,
+    /// It reports term 0 until it receives the state from the beginning.
+    awaits_full_state: bool,
 }
 
 impl Member {
     fn take(&mut self, direction: Direction) {
-        self.awaits_beginning &= direction.holdings_after > 0;
+        self.awaits_full_state &= direction.holdings_after > 0;
         if let Some(update) = direction.membership {
             self.has_gap |= self.table.update(update).is_none();
         }
@@ -101,7 +101,7 @@
 
     fn known(&self) -> KnownState {
         KnownState {
-            term: if self.awaits_beginning { 0 } else { TERM },
+            term: if self.awaits_full_state { 0 } else { TERM },
             holdings_version: self.version,
             members: 0,
             runners_revision: self.table.revision(),
@@ -110,7 +110,7 @@
     }
 }
 
-/// A coordinator with its members.
+/// A coordinator and its members.
 struct World {
     placement: Placement,
     table: RunnerTable,
@@ -119,7 +119,7 @@
     members: Vec<Member>,
     now: Timestamp,
     messages: usize,
-    /// Members say what they know before they are told anything.
+    /// Members send digests of what they know before they receive anything.
     has_summaries: bool,
 }
 
@@ -147,7 +147,7 @@
         }
     }
 
-    /// A coordinator and members whose lists say of each runner what it holds, each another thing.
+    /// A coordinator and members that start with different lists of runner holdings.
     fn with_lists(lists: &[Vec<Vec<usize>>]) -> Self {
         let mut world = Self::new();
         world.has_summaries = true;
@@ -174,7 +174,7 @@
         world
     }
 
-    fn summarize(&mut self, index: usize) {
+    fn send_summary(&mut self, index: usize) {
         let member = &mut self.members[index];
         if self.has_summaries && member.version == 0 {
             let summary = HoldingsSummary {
@@ -182,7 +182,7 @@
                 term: TERM,
                 digests: member.table.say_holdings(self.now),
             };
-            self.dissemination.heard_summary(summary, self.now);
+            self.dissemination.record_summary(summary, self.now);
         }
     }
 
@@ -250,8 +250,8 @@
         }
     }
 
-    /// One step without a loss. Returns who was told something.
-    fn step_told(&mut self) -> BTreeSet<usize> {
+    /// Runs one step without loss. Returns the members that were sent a message.
+    fn step_lossless(&mut self) -> BTreeSet<usize> {
         let mut told = BTreeSet::new();
         self.step_with(
             || false,
@@ -262,7 +262,7 @@
         told
     }
 
-    /// One step; `is_lost` tells the fate of each message in turn.
+    /// Runs one step; `is_lost` decides for each message in turn whether it is lost.
     fn step(&mut self, is_lost: impl FnMut() -> bool) {
         self.step_with(is_lost, |_| {});
     }
@@ -274,13 +274,14 @@
             let usage = self.usage(index);
             let has_gap = std::mem::take(&mut self.members[index].has_gap);
             if has_gap && !is_lost() {
-                self.dissemination.has_gap(&usage.from, usage.known);
+                self.dissemination.record_gap(&usage.from, usage.known);
             }
             if is_usage_due && !is_lost() {
-                self.summarize(index);
+                self.send_summary(index);
             }
             if is_usage_due && !is_lost() {
-                self.dissemination.heard(&usage.from, usage.known, self.now);
+                self.dissemination
+                    .record_known_state(&usage.from, usage.known, self.now);
                 self.placement.usage(usage, self.now);
             }
         }
@@ -303,8 +304,8 @@
         }
     }
 
-    fn calm(&mut self) {
-        let end = self.now + CALM;
+    fn run_lossless(&mut self) {
+        let end = self.now + CONVERGENCE_TIME;
         while self.now < end {
             self.step(|| false);
         }
@@ -313,20 +314,20 @@
 
 #[derive(Clone, Debug)]
 enum Change {
-    Appear(usize),
+    Add(usize),
     Drain(usize),
-    Leave(usize),
-    Hold(usize, Vec<usize>),
+    Remove(usize),
+    SetHoldings(usize, Vec<usize>),
     Nothing,
 }
 
 fn change() -> impl Strategy<Value = Change> {
     prop_oneof![
-        1 => (0_usize..12).prop_map(Change::Appear),
+        1 => (0_usize..12).prop_map(Change::Add),
         1 => (0_usize..12).prop_map(Change::Drain),
-        1 => (0_usize..12).prop_map(Change::Leave),
+        1 => (0_usize..12).prop_map(Change::Remove),
         3 => (0_usize..12, prop::collection::vec(0_usize..8, 0..4))
-            .prop_map(|(index, models)| Change::Hold(index, models)),
+            .prop_map(|(index, models)| Change::SetHoldings(index, models)),
         3 => Just(Change::Nothing),
     ]
 }
@@ -340,23 +341,23 @@
     })]
 
     #[test]
-    fn every_member_knows_everything_soon_after_the_last_loss(
+    fn all_members_converge_soon_after_the_last_loss(
         changes in prop::collection::vec(change(), 1..80),
         losses in prop::collection::vec(any::<bool>(), 97),
     ) {
         let mut world = World::new();
-        let mut fates = losses.into_iter().cycle();
+        let mut losses = losses.into_iter().cycle();
         for (count, change) in (1..).zip(changes) {
             match change {
-                Change::Appear(index) => world.set_runner(index, false),
+                Change::Add(index) => world.set_runner(index, false),
                 Change::Drain(index) => world.set_runner(index, true),
-                Change::Leave(index) => world.remove_runner(index),
-                Change::Hold(index, models) => world.set_holdings(index, &models, count),
+                Change::Remove(index) => world.remove_runner(index),
+                Change::SetHoldings(index, models) => world.set_holdings(index, &models, count),
                 Change::Nothing => {}
             }
-            world.step(|| fates.next().unwrap_or(false));
+            world.step(|| losses.next().unwrap_or(false));
         }
-        world.calm();
+        world.run_lossless();
         let expected: BTreeMap<RunnerId, RunnerHoldings> = world
             .placement
             .announced()
@@ -374,7 +375,7 @@
     }
 }
 
-/// What each of the members and the coordinator reads in its list of the runners: nearly the same everywhere.
+/// Lists of runner holdings read by each member and the coordinator, with few differences between them.
 fn lists() -> impl Strategy<Value = Vec<Vec<Vec<usize>>>> {
     let list = prop::collection::vec(prop::collection::vec(0_usize..8, 0..4), 40);
     let differences = prop::collection::vec((0..=MEMBERS, 0_usize..40, 0_usize..8), 0..12);
@@ -396,21 +397,21 @@
     })]
 
     #[test]
-    fn members_that_say_what_they_know_come_to_know_what_they_lack(
+    fn members_that_send_digests_receive_the_differences(
         lists in lists(),
         held in prop::collection::vec((0_usize..40, prop::collection::vec(0_usize..8, 0..4)), 0..60),
         losses in prop::collection::vec(any::<bool>(), 97),
     ) {
         let mut world = World::with_lists(&lists);
-        let mut fates = losses.into_iter().cycle();
+        let mut losses = losses.into_iter().cycle();
         for (count, (runner, models)) in (1..).zip(held) {
             world.set_holdings(runner, &models, count);
-            world.step(|| fates.next().unwrap_or(false));
+            world.step(|| losses.next().unwrap_or(false));
         }
         for (index, models) in lists[MEMBERS].iter().enumerate() {
             world.set_holdings(index, models, 100);
         }
-        world.calm();
+        world.run_lossless();
         for member in &world.members {
             for announced in world.placement.announced() {
                 let models: Vec<ModelName> = announced.holdings.into_iter().map(|it| it.0).collect();
@@ -421,45 +422,45 @@
     }
 }
 
-/// A member that knows all but one of the runners is told that one and the few that share its digest.
+/// A member for which one runner differs is sent that runner and the few others in the same bucket.
 #[test]
-fn a_member_is_told_what_differs_and_little_else() {
+fn a_member_is_sent_little_more_than_the_differences() {
     let list: Vec<Vec<usize>> = (0..40).map(|index| vec![index % 8]).collect();
     let mut lists = vec![list; MEMBERS + 1];
     lists[1][7] = vec![3];
     let mut world = World::with_lists(&lists);
-    world.calm();
+    world.run_lossless();
     let told: Vec<usize> = world.members.iter().map(|it| it.holdings.len()).collect();
     assert!((1..=8).contains(&told[1]), "{told:?}");
     assert_eq!(told[0] + told[2] + told[3], 0, "{told:?}");
 }
 
 #[test]
-fn without_news_members_get_heartbeats_only() {
+fn members_get_only_heartbeats_without_updates() {
     let mut world = World::new();
     for index in 0..3 {
         world.set_holdings(index, &[index], 1);
     }
-    world.calm();
+    world.run_lossless();
     world.messages = 0;
     let begun = world.now;
-    world.calm();
+    world.run_lossless();
     let heartbeats = world.now.since(begun).as_millis() / 500;
     let most = (usize::try_from(heartbeats).unwrap() + 1) * MEMBERS;
     assert!(world.messages <= most, "{} messages", world.messages);
 }
 
-/// Seen on played days: the runner whose holdings had changed last was gone, so that members were told of a
-/// version which no message brought, and took in nothing that followed.
+/// Regression test, found in simulations: after the runner whose holdings had changed last was removed, members were
+/// sent updates based on a version that no message contained, and rejected all later updates.
 #[test]
-fn holdings_are_heard_of_after_the_last_changed_runner_is_gone() {
+fn holdings_are_sent_after_removal_of_the_last_changed_runner() {
     let mut world = World::new();
     world.set_runner(3, false);
     world.step(|| false);
     world.set_holdings(0, &[0], 1);
     world.set_holdings(3, &[1], 1);
     world.remove_runner(3);
-    world.calm();
+    world.run_lossless();
     world.set_holdings(0, &[0, 2], 2);
     let told = world.now;
     while world.now.since(told) < Duration::from_millis(200) {
@@ -471,15 +472,15 @@
     }
 }
 
-/// Seen on played days: while there were news all the time, a member that had lost one message was not told
-/// again what it lacked.
+/// Regression test, found in simulations: under continuous updates, a member that had lost one message was not resent
+/// the missing state.
 #[test]
-fn a_lost_message_is_made_up_for_while_there_are_always_news() {
+fn a_lost_message_is_resent_under_continuous_updates() {
     let mut world = World::new();
     for index in 0..3 {
         world.set_holdings(index, &[index], 1);
     }
-    world.calm();
+    world.run_lossless();
     world.set_holdings(0, &[0, 5], 2);
     world.step(|| true);
     let id = runner(0, 0, false).id;
@@ -489,17 +490,17 @@
         world.step(|| false);
     }
     for member in &world.members {
-        assert_eq!(member.holdings[&id].holdings.len(), 2, "still not told");
+        assert_eq!(member.holdings[&id].holdings.len(), 2, "update not resent");
     }
 }
 
-/// A successor that has just read the list does not know what has changed before. It only confirmed the list to members
-/// with the same runners, also where one had turned cold in between.
+/// Regression test: a successor that has just read the list does not know earlier changes. It only sent a confirmation
+/// to members with the same runners, even if a runner had become cold in between.
 #[test]
-fn a_new_coordinator_tells_of_cold_runners_that_its_predecessor_did_not() {
+fn a_new_coordinator_sends_cold_runners_unknown_to_its_predecessor() {
     let cold_for = Duration::from_secs(3);
     let mut world = World::new();
-    world.calm();
+    world.run_lossless();
     for revision in [7, 9] {
         let cold = Runner {
             cold_for,
@@ -511,28 +512,31 @@
             .table
             .replace(others.chain([cold]).collect(), revision);
         world.dissemination = Dissemination::new(TERM, 0, world.now);
-        world.calm();
+        world.run_lossless();
         for member in &world.members {
             let known = member.table.get(&runner(0, 0, false).id).unwrap();
             assert_eq!(known.cold_for, cold_for);
-            assert_eq!(known.revision, revision, "the second spell is another one");
+            assert_eq!(
+                known.revision, revision,
+                "the second cold period is a new one"
+            );
         }
     }
 }
 
-/// Seen on a played day of 300 daemons: news filled the coordinator's link, and members that had to wait for their
-/// share of it took the coordinator for gone.
+/// Regression test, found in a simulation of 300 daemons: updates saturated the coordinator's link, and members that
+/// had to wait for their turn assumed that the coordinator had failed.
 #[test]
-fn a_full_link_does_not_hold_up_heartbeats() {
+fn a_saturated_link_does_not_delay_heartbeats() {
     let mut world = World::new();
-    world.calm();
-    // One Mbit/s, of which a part is for members: less than all of them must be told.
+    world.run_lossless();
+    // 1 Mbit/s, a part of which is for members: less than the updates require.
     world.dissemination = Dissemination::new(TERM, 1, world.now);
     for index in 0..400 {
         world.set_runner(index, false);
     }
     world.step(|| false);
-    let mut heard: Vec<Timestamp> = vec![world.now; MEMBERS];
+    let mut last_message: Vec<Timestamp> = vec![world.now; MEMBERS];
     for count in 1..60 {
         for index in 0..400 {
             world.set_holdings(
@@ -541,23 +545,27 @@
                 count,
             );
         }
-        for member in world.step_told() {
-            heard[member] = world.now;
+        for member in world.step_lossless() {
+            last_message[member] = world.now;
         }
-        let silence = heard.iter().map(|&at| world.now.since(at)).max().unwrap();
+        let silence = last_message
+            .iter()
+            .map(|&at| world.now.since(at))
+            .max()
+            .unwrap();
         assert!(
             silence <= Duration::from_millis(600),
-            "{silence:?} without a word"
+            "no message for {silence:?}"
         );
     }
 }
 
-/// Lists of which each daemon reads the same.
+/// Identical lists for all daemons.
 fn same_lists() -> Vec<Vec<Vec<usize>>> {
     vec![(0..6).map(|index| vec![index]).collect(); MEMBERS + 1]
 }
 
-/// A member that has said what it knows, and so was told nothing of it, reads another list afterwards.
+/// Makes a member read another list after it has sent its digests.
 fn replace_list(member: &mut Member, revision: u64, models: impl Fn(usize) -> Vec<usize>) {
     let listed = (0..6).map(|index| Runner {
         holdings: models(index)
@@ -574,49 +582,49 @@
     believed.is_some_and(|holdings| holdings.contains_key(&model(index)))
 }
 
-/// Seen in a soak, seed 2004 with a store that comes back from copies: a daemon served no rare model within 20 s of the last
-/// fault, though it heard its coordinator. How it came about: it said what runners hold by its list, and was told nothing of
-/// a runner of which that was right; the next list it read, of a copy, no longer held the model. What caused it: what was
-/// said was not kept, while the coordinator counted it as known.
+/// Regression test, found in a soak test (seed 2004, with restores of the store): a daemon did not serve a rare model
+/// within 20 s of the last fault, though it received messages from its coordinator. It had reported holdings from its
+/// list, so the coordinator did not send those that were correct. The next list, read from a restored store, lacked the
+/// model. The member had not kept the holdings that it had reported, while the coordinator counted them as known.
 #[test]
-fn what_a_member_has_said_it_knows_stands_over_its_next_list() {
+fn holdings_reported_by_a_member_survive_its_next_list() {
     let mut world = World::with_lists(&same_lists());
-    world.calm();
+    world.run_lossless();
     let member = &mut world.members[1];
     assert!(holds(member, 3));
     replace_list(member, 2, |_| Vec::new());
     for index in 0..6 {
         world.set_holdings(index, &[index], 1);
     }
-    world.calm();
+    world.run_lossless();
     assert!((0..6).all(|index| holds(&world.members[1], index)));
 }
 
-/// The list of a member lacks a runner for a while, as after an entry that has lapsed; the coordinator's does not.
+/// The list of a member lacks a runner temporarily, as after an expired entry; the list of the coordinator has it.
 #[test]
-fn what_a_member_was_told_of_a_runner_stands_when_its_entry_comes_back() {
+fn holdings_sent_to_a_member_survive_when_an_entry_reappears() {
     let mut world = World::with_lists(&same_lists());
     world.set_holdings(3, &[3, 5], 1);
-    world.calm();
+    world.run_lossless();
     let id = runner(3, 0, false).id;
     let member = &mut world.members[1];
     member.table.remove(&id, 2);
     member.table.insert(runner(3, 3, false), 3);
     member.table.set_revision(3);
-    world.calm();
+    world.run_lossless();
     let believed = world.members[1].table.believed_holdings(&id).unwrap();
     assert!(believed.contains_key(&model(5)), "{believed:?}");
 }
 
 #[test]
-fn what_a_member_was_told_while_an_entry_was_away_stands_over_what_it_knew_before() {
+fn holdings_sent_while_an_entry_is_missing_replace_earlier_ones() {
     let mut world = World::with_lists(&same_lists());
     world.set_holdings(3, &[3, 5], 1);
-    world.calm();
+    world.run_lossless();
     let id = runner(3, 0, false).id;
     world.members[1].table.remove(&id, 2);
     world.set_holdings(3, &[6], 2);
-    world.calm();
+    world.run_lossless();
     let member = &mut world.members[1];
     member.table.insert(runner(3, 3, false), 3);
     member.table.set_revision(3);
@@ -624,40 +632,40 @@
     assert_eq!(believed.keys().collect::<Vec<_>>(), [&model(6)]);
 }
 
-/// The member's process is killed; the next one hears the coordinator before it has read a list, so that it can't say yet
-/// what it knows.
+/// The process of a member is killed. Its successor receives messages from the coordinator before it has read a list,
+/// and so cannot report what it knows yet.
 #[test]
-fn a_member_that_starts_anew_is_not_taken_to_know_what_the_process_before_knew() {
+fn a_restarted_member_is_not_assumed_to_know_the_earlier_state() {
     let mut world = World::with_lists(&same_lists());
-    world.calm();
+    world.run_lossless();
     world.members[1] = Member::default();
     world.has_summaries = false;
-    world.calm();
+    world.run_lossless();
     replace_list(&mut world.members[1], 1, |_| Vec::new());
-    world.calm();
+    world.run_lossless();
     assert!((0..6).all(|index| holds(&world.members[1], index)));
 }
 
-/// Guards against a member that is never told what runners hold: it has read a list before the coordinator hears of its new
-/// process, and the digests of what it knows were lost.
+/// Guards against a restarted member that is never sent runner holdings: it has read a list before the coordinator
+/// receives a message of the new process, and its digests were lost.
 #[test]
-fn a_member_that_starts_anew_with_a_list_is_told_what_its_list_lacks() {
+fn a_restarted_member_with_a_list_is_sent_what_its_list_lacks() {
     let mut world = World::with_lists(&same_lists());
-    world.calm();
+    world.run_lossless();
     world.members[1] = Member {
-        awaits_beginning: true,
+        awaits_full_state: true,
         ..Member::default()
     };
     world.has_summaries = false;
     replace_list(&mut world.members[1], 1, |_| Vec::new());
-    world.calm();
+    world.run_lossless();
     assert!((0..6).all(|index| holds(&world.members[1], index)));
 }
 
-/// Guards against a member that is never told anything, because each message of it lets the coordinator wait for its list
-/// from the beginning: on a slow link that is longer than the time between two messages.
+/// Guards against a member that is never sent anything because each of its messages restarts the time for which the
+/// coordinator waits for its list: on a slow link that time exceeds the interval between messages.
 #[test]
-fn a_member_without_a_list_is_not_waited_for_anew_with_each_message() {
+fn messages_of_a_member_without_a_list_do_not_restart_the_wait() {
     const RUNNERS: usize = 400;
     const LINK_MBIT_PER_S: u32 = 1;
     let lists = vec![(0..RUNNERS).map(|index| vec![index]).collect(); MEMBERS + 1];
@@ -665,12 +673,12 @@
     world.dissemination = Dissemination::new(TERM, LINK_MBIT_PER_S, world.now);
     world.has_summaries = false;
     world.members[1] = Member {
-        awaits_beginning: true,
+        awaits_full_state: true,
         ..Member::default()
     };
     let begun = world.now;
     while world.members[1].table.revision() == 0 {
-        world.members[1].awaits_beginning = true;
+        world.members[1].awaits_full_state = true;
         world.step(|| false);
         let waited = world.now.since(begun);
         assert!(waited < Duration::from_secs(10), "waited {waited:?}");
--- a/crates/routing/tests/encoding.rs
+++ b/crates/routing/tests/encoding.rs
@@ -1,5 +1,5 @@
-//! Builds that know of eras of the store beside one that does not: it sends and expects the store's own numbers, and reads
-//! nothing behind a message.
+//! Compatibility of era-aware builds with legacy builds, which send and expect the store's own numbers and ignore bytes
+//! after a message.
 
 use std::net::SocketAddr;
 
@@ -22,7 +22,7 @@
     .ordered()
 }
 
-/// News with revisions of an era in each place that holds one.
+/// Store news with revisions of an era in every field that has one.
 fn news(era: u64) -> Message {
     Message::StoreNews(StoreNews {
         from: SocketAddr::from(([10, 0, 0, 1], 80)),
@@ -60,14 +60,14 @@
     })
 }
 
-/// As a build decodes that does not know of eras.
-fn decoded_before(bytes: &[u8]) -> Message {
+/// Decodes a message like a legacy build.
+fn decode_as_legacy(bytes: &[u8]) -> Message {
     assert_eq!(bytes[0], WIRE_VERSION);
     postcard::from_bytes(&bytes[1..]).unwrap()
 }
 
-/// As a build encodes that does not know of eras.
-fn encoded_before(message: &Message) -> Vec<u8> {
+/// Encodes a message like a legacy build.
+fn encode_as_legacy(message: &Message) -> Vec<u8> {
     postcard::to_extend(message, vec![WIRE_VERSION]).unwrap()
 }
 
@@ -78,37 +78,37 @@
 }
 
 #[test]
-fn a_build_before_reads_the_numbers_of_the_store() {
+fn a_legacy_build_reads_store_numbers() {
     for era in [0, 1, 7] {
         let encoding = known_since(era);
-        assert_eq!(decoded_before(&encoding.encode(&news(era))), news(0));
+        assert_eq!(decode_as_legacy(&encoding.encode(&news(era))), news(0));
         assert_eq!(
-            decoded_before(&encoding.encode(&notice(at(era, 65)))),
+            decode_as_legacy(&encoding.encode(&notice(at(era, 65)))),
             notice(65)
         );
     }
 }
 
 #[test]
-fn the_numbers_of_a_build_before_are_of_the_first_era_that_was_known() {
+fn numbers_of_a_legacy_build_belong_to_the_first_known_era() {
     for era in [0, 1, 7] {
         let mut encoding = known_since(era);
-        let decoded = encoding.decode(&encoded_before(&news(0))).unwrap();
+        let decoded = encoding.decode(&encode_as_legacy(&news(0))).unwrap();
         assert_eq!(decoded, news(era));
-        // Once the store has come back from a copy they stay those of before.
+        // After a restore from a backup they are still taken as belonging to the earlier era.
         encoding.note_era(start(era + 1, 48, at(era, 65)));
-        let decoded = encoding.decode(&encoded_before(&news(0))).unwrap();
+        let decoded = encoding.decode(&encode_as_legacy(&news(0))).unwrap();
         assert_eq!(decoded, news(era));
     }
 }
 
 #[test]
-fn builds_that_know_of_eras_understand_each_other_since_whenever_they_know_the_store() {
+fn era_aware_builds_exchange_revisions_whichever_era_they_first_saw() {
     for (sender, receiver) in [(0, 0), (1, 1), (1, 3), (3, 1), (0, 2)] {
         for era in sender..5 {
             let bytes = known_since(sender).encode(&news(era));
             assert_eq!(known_since(receiver).decode(&bytes).unwrap(), news(era));
-            // One that has not seen the store yet passes on what it was told.
+            // A daemon that has not seen the store yet forwards revisions unchanged.
             assert_eq!(Encoding::default().decode(&bytes).unwrap(), news(era));
             let told = Encoding::default().encode(&news(era));
             assert_eq!(known_since(receiver).decode(&told).unwrap(), news(era));
@@ -116,18 +116,18 @@
     }
 }
 
-/// Else builds before would take the numbers of one that has just started for lower ones than those they know.
+/// Otherwise legacy builds would get lower numbers from a daemon that has just started than those they already know.
 #[test]
-fn the_lowest_first_era_that_is_heard_of_counts() {
+fn the_lowest_first_era_received_is_adopted() {
     let mut late = known_since(3);
     late.decode(&known_since(1).encode(&notice(at(3, 5))))
         .unwrap();
     let bytes = late.encode(&news(3));
     assert_eq!(
-        decoded_before(&bytes),
-        decoded_before(&known_since(1).encode(&news(3)))
+        decode_as_legacy(&bytes),
+        decode_as_legacy(&known_since(1).encode(&news(3)))
     );
-    assert_eq!(decoded_before(&bytes), news(2));
+    assert_eq!(decode_as_legacy(&bytes), news(2));
 }
 
 fn start(era: u64, first: u64, known_before: u64) -> EraStart {
@@ -140,7 +140,7 @@
     }
 }
 
-/// A daemon that has known the store in its first era up to 65, and then came to know others.
+/// A daemon that has seen the store in its first era, and then the start of later eras.
 fn restored(starts: &[EraStart]) -> Encoding {
     let mut encoding = known_since(0);
     for start in starts {
@@ -150,9 +150,9 @@
 }
 
 #[test]
-fn a_build_before_gets_numbers_that_go_on_from_those_before_the_restore() {
+fn a_legacy_build_gets_continuous_numbers_across_a_restore() {
     let encoding = restored(&[start(1, 48, at(0, 65)), start(2, 50, at(1, 55))]);
-    let told = |revision| decoded_before(&encoding.encode(&notice(revision)));
+    let told = |revision| decode_as_legacy(&encoding.encode(&notice(revision)));
     assert_eq!(told(at(0, 65)), notice(65));
     assert_eq!(told(at(1, 48)), notice(66));
     assert_eq!(told(at(1, 55)), notice(73));
@@ -160,9 +160,10 @@
     assert_eq!(told(at(2, 60)), notice(84));
 }
 
-/// Numbers that go back would count as known. A daemon that did not see the era begin goes by those that it hears.
+/// Legacy builds ignore numbers lower than those they know. A daemon that did not see the start of the era adopts the
+/// numbering that it receives.
 #[test]
-fn daemons_come_to_number_alike() {
+fn daemons_converge_on_one_numbering() {
     let (mut low, high) = (
         restored(&[start(1, 48, at(0, 60))]),
         restored(&[start(1, 48, at(0, 65))]),
@@ -175,9 +176,9 @@
     }
 }
 
-/// An answer that tells an era and no revision of it says nothing of where its numbers begin.
+/// The numbering of an era can only start once a revision of it is known.
 #[test]
-fn an_era_of_which_no_revision_is_known_is_told_to_builds_that_know_of_eras() {
+fn an_era_without_known_revisions_is_sent_to_era_aware_builds() {
     let encoding = restored(&[start(1, 0, at(0, 65))]);
     let news = notice(at(1, 50));
     assert_eq!(
@@ -186,17 +187,17 @@
     );
 }
 
-/// What is no revision stays as it is.
+/// Revision 0 stands for none, and is not converted.
 #[test]
-fn no_revision_stays_none() {
+fn revision_zero_is_not_converted() {
     let encoding = known_since(4);
-    assert_eq!(decoded_before(&encoding.encode(&notice(0))), notice(0));
-    let decoded = known_since(4).decode(&encoded_before(&notice(0)));
+    assert_eq!(decode_as_legacy(&encoding.encode(&notice(0))), notice(0));
+    let decoded = known_since(4).decode(&encode_as_legacy(&notice(0)));
     assert_eq!(decoded.unwrap(), notice(0));
 }
 
 #[test]
-fn a_message_of_another_version_is_told_from_a_damaged_one() {
+fn an_unsupported_version_is_distinguished_from_corruption() {
     let bytes = Encoding::default().encode(&notice(1));
     let mut other = bytes.clone();
     other[0] = WIRE_VERSION + 1;
@@ -206,8 +207,8 @@
     assert!(matches!(read(&bytes[..4]), MessageError::Decode(_)));
 }
 
-/// A part as a later build may write it behind a message.
-fn later_part() -> impl Strategy<Value = Vec<u8>> {
+/// An extension as a later build may append it to a message.
+fn unknown_extension() -> impl Strategy<Value = Vec<u8>> {
     let short = (2_u8..16).prop_map(|number| vec![number]);
     let content = prop::collection::vec(any::<u8>(), 0..200);
     let long = (18_u8..=u8::MAX, content)
@@ -223,12 +224,12 @@
         ..ProptestConfig::default()
     })]
 
-    /// Wherever they stand among those that are known.
+    /// Unknown extensions are skipped before, between and after known ones.
     #[test]
-    fn parts_of_later_builds_are_passed_over(
+    fn extensions_of_later_builds_are_skipped(
         era in 0_u64..9,
-        before in prop::collection::vec(later_part(), 0..4),
-        after in prop::collection::vec(later_part(), 0..4),
+        before in prop::collection::vec(unknown_extension(), 0..4),
+        after in prop::collection::vec(unknown_extension(), 0..4),
     ) {
         let message = news(era);
         let sent = known_since(era).encode(&message);
@@ -240,10 +241,10 @@
         prop_assert_eq!(Encoding::default().decode(&bytes).unwrap(), message);
     }
 
-    /// However often the store came back, a build that knows of eras reads each revision again, and one that does not
-    /// gets numbers in the same order, which it can compare with the store's.
+    /// After any number of restores, era-aware builds restore every revision, and legacy builds get numbers in the same
+    /// order that are comparable to those of the store.
     #[test]
-    fn revisions_go_round_over_eras_and_stay_in_order(
+    fn revisions_round_trip_across_eras_and_stay_in_order(
         eras in prop::collection::vec((1_u64..500, 0_u64..100), 1..6),
         first_era in 0_u64..3,
     ) {
@@ -263,7 +264,7 @@
             let bytes = sender.encode(&notice(revision));
             let read = known_since(first_era).decode(&bytes).unwrap();
             prop_assert_eq!(read, notice(revision));
-            let Message::Waiting(earlier) = decoded_before(&bytes) else { unreachable!() };
+            let Message::Waiting(earlier) = decode_as_legacy(&bytes) else { unreachable!() };
             numbers.push(earlier.known.runners_revision);
         }
         prop_assert!(numbers.is_sorted(), "{numbers:?}");
@@ -271,9 +272,9 @@
         prop_assert!(numbers.iter().all(|&number| number <= changes), "{numbers:?}");
     }
 
-    /// A message that is cut off, or damaged, is read as a whole one or not at all, and never ends the process.
+    /// Decoding a truncated or corrupted message must not panic, nor may encoding afterwards.
     #[test]
-    fn cut_and_damaged_messages_are_harmless(
+    fn truncated_and_corrupted_messages_do_not_panic(
         era in 0_u64..9,
         cut in 0_usize..200,
         damage in prop::collection::vec((0_usize..200, any::<u8>()), 0..4),
--- a/crates/routing/tests/mass_restart.rs
+++ b/crates/routing/tests/mass_restart.rs
@@ -1,6 +1,6 @@
-//! A coordinator with hundreds of members and thousands of runners, after all daemons were killed and after a takeover:
-//! the bytes that it sends, and when the members know where models are. Time is virtual; links carry so many bytes a
-//! second and drop what does not fit their queue.
+//! A coordinator with hundreds of members and thousands of runners, after a restart of all daemons and after a
+//! takeover: measures the bytes sent and the time until the members know the locations of models. Time is virtual;
+//! links have a limited bandwidth, and drop messages that do not fit into their queue.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -25,26 +25,26 @@
 
 const STEP: Duration = Duration::from_millis(25);
 const USAGE: Duration = Duration::from_secs(1);
-/// Links of weak machines and of the coordinator's, in Mbit/s.
+/// Link speeds of weak machines and of the coordinator's machine, in Mbit/s.
 const WEAK_LINK: u32 = 10;
 const STRONG_LINK: u32 = 200;
-/// Bytes that wait for a link at most.
+/// Maximum number of bytes queued for a link.
 const QUEUE_BYTES: f64 = 256_000.0;
-/// Headers of a datagram.
+/// Size of the headers of a datagram, in bytes.
 const DATAGRAM_BYTES: usize = 28;
-/// Bytes of a runner in the store's list.
+/// Size of a runner entry in the store's list, in bytes.
 const ENTRY_BYTES: usize = 700;
-/// Bytes that the store sends in a second.
-const STORE_RATE: f64 = 125_000_000.0;
+/// Bandwidth of the store, in bytes per second.
+const STORE_BYTES_PER_SECOND: f64 = 125_000_000.0;
 const MODELS: usize = 500;
 const MODELS_HELD: usize = 3;
-/// Models that nine of ten requests are for.
-const BUSY_MODELS: usize = 18;
-/// One runner of so many holds something else than the list says.
+/// Number of popular models, which get nine of ten requests.
+const POPULAR_MODELS: usize = 18;
+/// One in this many runners has other holdings than the list states.
 const STALE_ENTRIES: usize = 50;
-/// One member of so many is observed; the tables of all would not fit.
+/// One in this many members is observed; the tables of all members would not fit into memory.
 const OBSERVED: usize = 30;
-/// Pages of the list.
+/// Number of pages of the list.
 const PAGES: u32 = 6;
 /// Revision of the store's list.
 const REVISION: u64 = 10_000;
@@ -61,19 +61,19 @@
     SocketAddr::from(([10, 0, 0, 1], u16::try_from(1_000 + index).unwrap()))
 }
 
-/// Spreads numbers, so that no page of the list has models of its own.
+/// Scrambles numbers, so that models are spread evenly over the pages of the list.
 fn scrambled(number: usize) -> usize {
     (number.wrapping_mul(2_654_435_761) >> 12) % 10_007
 }
 
-/// Half of the runners hold busy models, the others rare ones.
+/// Holdings according to the list: half of the runners hold popular models, the others rare ones.
 fn holdings(index: usize, shift: usize) -> Holdings {
     let held = |place: usize| {
         let number = scrambled(index / 2) + place * 5 + shift;
         if index.is_multiple_of(2) {
-            model(number % BUSY_MODELS)
+            model(number % POPULAR_MODELS)
         } else {
-            model(BUSY_MODELS + number % (MODELS - BUSY_MODELS))
+            model(POPULAR_MODELS + number % (MODELS - POPULAR_MODELS))
         }
     };
     let adapters = BTreeSet::from([AdapterName::new("a1")]);
@@ -82,8 +82,8 @@
         .collect()
 }
 
-/// What a runner holds in truth.
-fn truth(index: usize) -> Holdings {
+/// Actual holdings of a runner.
+fn actual_holdings(index: usize) -> Holdings {
     holdings(index, usize::from(index.is_multiple_of(STALE_ENTRIES)))
 }
 
@@ -130,37 +130,37 @@
     Configuration::new(1, ClientLimits::default(), Vec::new(), vec![service])
 }
 
-/// A link with a queue.
+/// A link with limited bandwidth and a bounded queue.
 struct Link {
-    bytes_a_second: f64,
+    bytes_per_second: f64,
     free_at: f64,
 }
 
 impl Link {
     fn new(megabits: u32) -> Self {
         Self {
-            bytes_a_second: f64::from(megabits) * 125_000.0,
+            bytes_per_second: f64::from(megabits) * 125_000.0,
             free_at: 0.0,
         }
     }
 
-    /// When bytes that are sent at a time are through, in seconds; `None` if they are dropped.
+    /// Time at which bytes sent at `at` have been transmitted, in seconds; `None` if they are dropped.
     fn carry(&mut self, bytes: usize, at: f64) -> Option<f64> {
         #[allow(clippy::cast_precision_loss)]
         let bytes = bytes as f64;
         let begin = self.free_at.max(at);
-        if (begin - at) * self.bytes_a_second + bytes > QUEUE_BYTES {
+        if (begin - at) * self.bytes_per_second + bytes > QUEUE_BYTES {
             return None;
         }
-        self.free_at = begin + bytes / self.bytes_a_second;
+        self.free_at = begin + bytes / self.bytes_per_second;
         Some(self.free_at)
     }
 }
 
-/// A daemon that follows the coordinator. Only an observed one has a table.
+/// A member. Only observed members have a table.
 struct Member {
     table: Option<RunnerTable>,
-    /// When the first page of the list comes, and when the last one does.
+    /// Times at which the first page and the last page of the list arrive.
     reads_page_at: Option<Timestamp>,
     reads_list_at: Option<Timestamp>,
     revision: u64,
@@ -188,7 +188,7 @@
         }
     }
 
-    /// The store tells pages in the order of names, which are spread evenly over the runners.
+    /// The store sends pages in the order of names, which are spread evenly over the runners.
     fn read_page(&mut self, runners: usize) {
         self.reads_page_at = None;
         if let Some(table) = &mut self.table {
@@ -246,7 +246,7 @@
     }
 }
 
-/// What the coordinator has sent.
+/// Bytes sent by the coordinator.
 #[derive(Debug, Default)]
 struct Sent {
     total: usize,
@@ -271,8 +271,8 @@
     }
 }
 
-/// A message on its way to a member.
-struct Flying {
+/// A message in transit to a member.
+struct InFlight {
     at: Timestamp,
     member: usize,
     direction: Direction,
@@ -289,7 +289,7 @@
     digest: u64,
     members: Vec<Member>,
     link: Link,
-    flying: Vec<Flying>,
+    in_flight: Vec<InFlight>,
     asked: Vec<RunnerId>,
     index_of: HashMap<RunnerId, usize>,
     reports: usize,
@@ -297,16 +297,16 @@
 }
 
 impl World {
-    /// All daemons have just started, and read the store's list; the coordinator has read it.
+    /// All daemons have just started and are reading the store's list; the coordinator has already read it.
     fn restarted(members: usize, runners: usize) -> Self {
         let now = Timestamp(10_000);
         let mut table = RunnerTable::default();
         table.replace((0..runners).map(runner).collect(), REVISION);
         let list = seconds_for(runners * ENTRY_BYTES, f64::from(WEAK_LINK) * 125_000.0);
         let page = list / f64::from(PAGES);
-        let all_lists = seconds_for(members * runners * ENTRY_BYTES, STORE_RATE);
+        let all_lists = seconds_for(members * runners * ENTRY_BYTES, STORE_BYTES_PER_SECOND);
         let member = |index: usize| {
-            // The store sends all lists at once, so that they end close together.
+            // The store sends all lists concurrently, so they complete at nearly the same time.
             let list_at = now + Duration::from_secs_f64(list.max(all_lists));
             let page_at = now + Duration::from_secs_f64(page.max(all_lists / f64::from(PAGES)));
             Member::new(index.is_multiple_of(OBSERVED), page_at, list_at)
@@ -322,7 +322,7 @@
             table,
             members: (0..members).map(member).collect(),
             link: Link::new(STRONG_LINK),
-            flying: Vec::new(),
+            in_flight: Vec::new(),
             asked: Vec::new(),
             index_of: (0..runners).map(|index| (id(index), index)).collect(),
             reports: 0,
@@ -330,7 +330,7 @@
         }
     }
 
-    /// Another daemon, which was told the same as the members, coordinates from now on.
+    /// Another daemon, which received the same messages as the members, becomes coordinator.
     fn take_over(&mut self) {
         for index in 0..self.runners {
             let told = self.placement.announced().find(|it| it.runner == id(index));
@@ -348,7 +348,7 @@
             member.has_summary = false;
             member.received = 0;
         }
-        self.flying.clear();
+        self.in_flight.clear();
         self.asked.clear();
     }
 
@@ -388,29 +388,30 @@
             if due.is_some_and(|at| self.now >= at) {
                 self.members[index].read_list(self.runners);
             }
-            self.hear(index);
+            self.receive_from(index);
         }
         self.plan();
-        self.tell();
+        self.send();
         self.deliver();
     }
 
-    fn hear(&mut self, index: usize) {
+    fn receive_from(&mut self, index: usize) {
         let usage = self.usage(index);
         if std::mem::take(&mut self.members[index].has_gap) {
-            self.dissemination.has_gap(&usage.from, usage.known);
+            self.dissemination.record_gap(&usage.from, usage.known);
         }
         let phase = u64::try_from(index).unwrap() * 25 % 1_000;
         let is_due = (self.now.0 + phase).is_multiple_of(u64::try_from(USAGE.as_millis()).unwrap());
         if is_due {
-            self.summarize(index);
-            self.dissemination.heard(&usage.from, usage.known, self.now);
+            self.send_summary(index);
+            self.dissemination
+                .record_known_state(&usage.from, usage.known, self.now);
             self.placement.usage(usage, self.now);
         }
     }
 
-    /// A member tells a new coordinator what it knows. One that is not observed knows what the first observed one does.
-    fn summarize(&mut self, index: usize) {
+    /// Sends the digests of a member to a new coordinator. An unobserved member uses those of the first observed one.
+    fn send_summary(&mut self, index: usize) {
         let member = &self.members[index];
         if member.has_summary || member.revision == 0 {
             return;
@@ -418,7 +419,7 @@
         let observed = self.members[0]
             .table
             .as_ref()
-            .expect("the first is observed");
+            .expect("the first member is observed");
         let table = member.table.as_ref().unwrap_or(observed);
         let summary = HoldingsSummary {
             from: format!("d{index:03}"),
@@ -426,13 +427,13 @@
             digests: table.holdings_digests(),
         };
         self.members[index].has_summary = true;
-        self.dissemination.heard_summary(summary, self.now);
+        self.dissemination.record_summary(summary, self.now);
     }
 
     fn plan(&mut self) {
         for runner in std::mem::take(&mut self.asked) {
             let report = RunnerReport {
-                holdings: truth(self.index_of[&runner]),
+                holdings: actual_holdings(self.index_of[&runner]),
                 order_count: 1,
                 ..RunnerReport::default()
             };
@@ -447,7 +448,7 @@
         }
     }
 
-    fn tell(&mut self) {
+    fn send(&mut self) {
         let header = header(self.term, &self.table);
         let messages = self
             .dissemination
@@ -458,7 +459,7 @@
             let message = Message::Direction(Box::new(outgoing.direction));
             let bytes = Encoding::default().encode(&message).len() + DATAGRAM_BYTES;
             let Message::Direction(direction) = message else {
-                unreachable!("it was just made")
+                unreachable!("the message is a direction")
             };
             self.sent.note(&direction, bytes);
             let Some(left) = self.link.carry(bytes, at) else {
@@ -466,11 +467,11 @@
             };
             let receiver = &mut self.members[member];
             receiver.received += bytes;
-            let Some(came) = receiver.link.carry(bytes, left) else {
+            let Some(arrives_at) = receiver.link.carry(bytes, left) else {
                 continue;
             };
-            self.flying.push(Flying {
-                at: Timestamp::ZERO + Duration::from_secs_f64(came),
+            self.in_flight.push(InFlight {
+                at: Timestamp::ZERO + Duration::from_secs_f64(arrives_at),
                 member,
                 direction: *direction,
             });
@@ -479,32 +480,32 @@
 
     fn deliver(&mut self) {
         let now = self.now;
-        let (come, flying) = std::mem::take(&mut self.flying)
+        let (come, in_flight) = std::mem::take(&mut self.in_flight)
             .into_iter()
-            .partition(|it: &Flying| it.at <= now);
-        self.flying = flying;
-        let come: Vec<Flying> = come;
+            .partition(|it: &InFlight| it.at <= now);
+        self.in_flight = in_flight;
+        let come: Vec<InFlight> = come;
         for arrival in come {
             self.members[arrival.member].take(arrival.direction, now);
         }
     }
 
-    /// The share of first tries of observed members that find a runner which holds what they want.
-    fn found(&self) -> f64 {
+    /// Share of first attempts of observed members that reach a runner which holds the requested model.
+    fn hit_ratio(&self) -> f64 {
         let observed: Vec<&RunnerTable> = self
             .members
             .iter()
             .filter_map(|it| it.table.as_ref())
             .collect();
         let mut found = 0.0;
-        let mut tries = 0.0;
+        let mut attempts = 0.0;
         for (place, table) in observed.iter().enumerate() {
             for number in 0..10 {
-                tries += 1.0;
+                attempts += 1.0;
                 let wanted = if number < 9 {
                     place + number
                 } else {
-                    BUSY_MODELS + place * 31
+                    POPULAR_MODELS + place * 31
                 };
                 found += if self.finds(table, &model(wanted), place * 7 + number) {
                     1.0
@@ -513,10 +514,10 @@
                 };
             }
         }
-        found / tries
+        found / attempts
     }
 
-    /// Whether one of the runners that seem to hold a model does.
+    /// Whether the chosen one of the runners believed to hold a model does hold it.
     fn finds(&self, table: &RunnerTable, model: &ModelName, choice: usize) -> bool {
         let unit = Unit {
             service: ServiceName::new("pool"),
@@ -528,17 +529,17 @@
             .filter(|runner| table.holds(runner, &unit, self.now));
         let holders: Vec<&Runner> = holders.collect();
         let chosen = holders.get(choice % holders.len().max(1));
-        chosen.is_some_and(|runner| truth(self.index_of[&runner.id]).contains_key(model))
+        chosen.is_some_and(|runner| actual_holdings(self.index_of[&runner.id]).contains_key(model))
     }
 
-    /// Runs for a time. Returns when nine in ten first tries have begun to find a holder.
+    /// Runs for a time. Returns the time from which on at least nine in ten first attempts find a holder.
     fn run(&mut self, time: Duration) -> Option<Duration> {
         let end = self.now + time;
         let mut found_after = None;
         while self.now < end {
             self.step();
             let is_look = self.now.0.is_multiple_of(100);
-            if is_look && self.found() < 0.9 {
+            if is_look && self.hit_ratio() < 0.9 {
                 found_after = None;
             } else if is_look && found_after.is_none() {
                 found_after = Some(self.now.since(self.began));
@@ -547,18 +548,18 @@
         found_after
     }
 
-    /// Bytes that the member in the middle was sent.
-    fn middle(&self) -> usize {
+    /// Median of the bytes sent to a member.
+    fn median_received(&self) -> usize {
         let mut received: Vec<usize> = self.members.iter().map(|it| it.received).collect();
         received.sort_unstable();
         received[received.len() / 2]
     }
 }
 
-/// Time that bytes take at a rate, in seconds.
+/// Transmission time of bytes at a rate, in seconds.
 #[allow(clippy::cast_precision_loss)]
-fn seconds_for(bytes: usize, bytes_a_second: f64) -> f64 {
-    bytes as f64 / bytes_a_second
+fn seconds_for(bytes: usize, bytes_per_second: f64) -> f64 {
+    bytes as f64 / bytes_per_second
 }
 
 fn placement(table: &RunnerTable, now: Timestamp) -> Placement {
@@ -593,11 +594,11 @@
     }
 }
 
-/// Bytes that the coordinator may send in a second, on average over the time that a day's losses take.
-const MOST_BYTES_A_SECOND: usize = 1_000_000;
+/// Maximum rate at which the coordinator may send, in bytes per second, averaged over the duration of a failure.
+const MAX_BYTES_PER_SECOND: usize = 1_000_000;
 
 #[test]
-fn all_that_lose_power_find_runners_as_soon_as_the_list_is_read() {
+fn members_find_runners_as_soon_as_they_have_read_the_list_after_a_mass_restart() {
     let mut world = World::restarted(300, 3_000);
     let time = Duration::from_secs(8);
     let found = world.run(time);
@@ -605,17 +606,17 @@
         found.is_some_and(|it| it <= Duration::from_secs(5)),
         "found after {found:?}"
     );
-    let most = MOST_BYTES_A_SECOND * 8;
+    let most = MAX_BYTES_PER_SECOND * 8;
     assert!(world.sent.total <= most, "{:?}", world.sent);
     assert!(
-        world.middle() <= 40_000,
+        world.median_received() <= 40_000,
         "{} bytes to a member",
-        world.middle()
+        world.median_received()
     );
 }
 
 #[test]
-fn a_successor_tells_members_only_what_they_do_not_know() {
+fn a_successor_sends_members_only_the_missing_state() {
     let mut world = World::restarted(300, 3_000);
     world.run(Duration::from_secs(10));
     world.take_over();
@@ -624,6 +625,6 @@
         found.is_some_and(|it| it <= Duration::from_secs(1)),
         "found after {found:?}"
     );
-    let most = MOST_BYTES_A_SECOND;
+    let most = MAX_BYTES_PER_SECOND;
     assert!(world.sent.total <= most, "{:?}", world.sent);
 }
--- a/crates/routing/tests/restored_store.rs
+++ b/crates/routing/tests/restored_store.rs
@@ -1,5 +1,5 @@
-//! The list of runners after the store came back from a copy: its last changes are lost, their revisions are given out again,
-//! and what runners have written is written again some time later.
+//! The runner table after a restore of the store from a backup: the latest changes are lost, their revisions are
+//! reused, and runners write their entries again some time later.
 
 mod support;
 
@@ -18,15 +18,15 @@
     runners.map(|it| (it.id.clone(), it.draining)).collect()
 }
 
-/// The coordinator tells a member what it lacks, in messages that all come.
-fn tell(coordinator: &RunnerTable, member: &mut RunnerTable) {
+/// Sends a member all updates that it is missing, without loss.
+fn update_member(coordinator: &RunnerTable, member: &mut RunnerTable) {
     for update in coordinator.updates_after(member.revision()).unwrap() {
         member.update(update).unwrap();
     }
 }
 
 #[test]
-fn a_revision_of_a_later_era_is_higher_as_one_number_too() {
+fn ordered_revisions_increase_across_eras() {
     let revisions = [at(0, 0), at(0, 65), at(1, 0), at(1, 48), at(2, 1)];
     assert!(revisions.is_sorted());
     assert_eq!(at(0, 65), 65);
@@ -45,22 +45,22 @@
 }
 
 #[test]
-fn news_under_a_revision_given_out_again_reach_members() {
+fn updates_with_a_reused_revision_reach_members() {
     let (mut coordinator, mut member) = (RunnerTable::default(), RunnerTable::default());
     coordinator.replace(vec![runner(0, 40, false), runner(1, 41, false)], at(0, 65));
-    tell(&coordinator, &mut member);
+    update_member(&coordinator, &mut member);
     coordinator.replace_from_copy(vec![runner(0, at(1, 40), false)], at(1, 48));
-    tell(&coordinator, &mut member);
+    update_member(&coordinator, &mut member);
     assert_eq!(draining(&member), [(id(0), false)]);
     coordinator.insert(runner(0, at(1, 65), true), at(1, 65));
     coordinator.set_revision(at(1, 65));
-    tell(&coordinator, &mut member);
+    update_member(&coordinator, &mut member);
     assert_eq!(draining(&member), [(id(0), true)]);
 }
 
-/// A member that heard nothing from the coordinator would rely on what it knew before the store lost it.
+/// Otherwise members would keep relying on state that the store has lost.
 #[test]
-fn the_first_list_of_an_era_is_news_also_if_nothing_has_changed() {
+fn the_first_list_of_an_era_is_an_update_even_without_changes() {
     let mut table = RunnerTable::default();
     table.replace(vec![runner(0, 40, false)], at(0, 65));
     let before = table.membership_revision();
@@ -72,32 +72,33 @@
 }
 
 #[test]
-fn a_runner_that_was_seen_to_leave_leaves_though_the_store_has_lost_that() {
+fn a_draining_runner_stays_draining_though_the_store_has_lost_the_change() {
     let (mut coordinator, mut member) = (RunnerTable::default(), RunnerTable::default());
     coordinator.replace(vec![runner(0, 60, true)], at(0, 65));
-    tell(&coordinator, &mut member);
+    update_member(&coordinator, &mut member);
     for number in [48, 49, 52] {
         coordinator.replace_from_copy(vec![runner(0, at(1, 40), false)], at(1, number));
         coordinator.insert(runner(0, at(1, number + 1), false), at(1, number + 1));
         assert_eq!(draining(&coordinator), [(id(0), true)]);
     }
-    // One that began after that knows no better, and a member that does is not talked out of it.
+    // A coordinator started after the restore does not know of the drain, and must not revert it on a member that does.
     let mut fresh = RunnerTable::default();
     fresh.replace(vec![runner(0, at(1, 40), false)], at(1, 60));
     assert_eq!(draining(&fresh), [(id(0), false)]);
-    tell(&fresh, &mut member);
+    update_member(&fresh, &mut member);
     assert_eq!(draining(&member), [(id(0), true)]);
 }
 
 #[test]
-fn a_runner_that_is_gone_does_not_come_back_by_an_old_entry() {
+fn a_removed_runner_does_not_reappear_from_an_old_entry() {
     let mut table = RunnerTable::default();
     table.replace(vec![runner(0, 40, false), runner(1, 41, false)], at(0, 60));
     table.remove(&id(0), at(0, 65));
     let old = runner(0, at(1, 40), false);
     table.replace_from_copy(vec![old.clone(), runner(1, at(1, 41), false)], at(1, 48));
     assert_eq!(draining(&table), [(id(1), false)]);
-    // It lives if it writes its entry again, or if that is still there once those of runners that are gone have lapsed.
+    // It is back if it writes its entry again, or if the entry is still there once those of removed runners have
+    // expired.
     let mut written = runner(0, at(1, 49), false);
     table.insert(written.clone(), at(1, 49));
     assert!(table.get(&id(0)).is_some());
@@ -111,21 +112,21 @@
 }
 
 #[test]
-fn the_next_life_of_a_runner_is_not_followed_by_the_one_before() {
-    let life = |start: u64, revision: u64| Runner {
+fn a_restarted_runner_is_not_replaced_by_its_previous_instance() {
+    let instance = |start: u64, revision: u64| Runner {
         id: RunnerId::of(RunnerName::new("r"), RunnerStart::from_millis(start)),
         ..runner(0, revision, false)
     };
     let mut table = RunnerTable::default();
-    table.replace(vec![life(1_000, 40)], at(0, 41));
-    table.insert(life(2_000, 60), at(0, 60));
-    table.replace_from_copy(vec![life(1_000, at(1, 40))], at(1, 48));
+    table.replace(vec![instance(1_000, 40)], at(0, 41));
+    table.insert(instance(2_000, 60), at(0, 60));
+    table.replace_from_copy(vec![instance(1_000, at(1, 40))], at(1, 48));
     let known = table.named(&RunnerName::new("r")).unwrap();
-    assert_eq!(known.id, life(2_000, 0).id);
+    assert_eq!(known.id, instance(2_000, 0).id);
 }
 
 #[test]
-fn evacuations_of_a_later_era_stand_though_their_number_is_lower() {
+fn evacuations_of_a_later_era_apply_though_their_number_is_lower() {
     let mut known = Evacuations {
         revision: at(0, 65),
         zones: Vec::new(),
@@ -134,42 +135,43 @@
         revision: at(1, 48),
         zones: vec![Zone::new("z")],
     };
-    assert!(known.take_in(listed));
+    assert!(known.update(listed));
 }
 
-/// A change of the store, or of what daemons know.
+/// A change of the store, or of the state known to daemons.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    Come(usize),
+    Add(usize),
     Drain(usize),
-    Go(usize),
-    /// The store comes back from the copy of some changes ago.
+    Remove(usize),
+    /// The store is restored to its state before this number of changes.
     Restore(usize),
-    /// The coordinator reads the list soon after the store came back, or later, or hears the changes.
-    ReadOfCopy,
+    /// The coordinator reads the list soon after the restore (`ReadAfterRestore`) or later (`Read`), or watches the
+    /// changes.
+    ReadAfterRestore,
     Read,
     Watch,
-    /// The member is told what it lacks.
-    Tell,
+    /// The member is sent the updates that it is missing.
+    Update,
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        3 => (0_usize..6).prop_map(Step::Come),
+        3 => (0_usize..6).prop_map(Step::Add),
         2 => (0_usize..6).prop_map(Step::Drain),
-        2 => (0_usize..6).prop_map(Step::Go),
+        2 => (0_usize..6).prop_map(Step::Remove),
         1 => (0_usize..8).prop_map(Step::Restore),
-        2 => Just(Step::ReadOfCopy),
+        2 => Just(Step::ReadAfterRestore),
         1 => Just(Step::Read),
         2 => Just(Step::Watch),
-        4 => Just(Step::Tell),
+        4 => Just(Step::Update),
     ]
 }
 
 #[derive(Clone, Debug, Default)]
 struct History {
     era: u64,
-    /// Runners after each revision of the present era, from the first of all.
+    /// State after each revision of the current history, starting with the first revision.
     states: Vec<BTreeMap<usize, (u64, bool)>>,
 }
 
@@ -178,12 +180,12 @@
         self.states.len() as u64
     }
 
-    fn present(&self) -> BTreeMap<usize, (u64, bool)> {
+    fn current(&self) -> BTreeMap<usize, (u64, bool)> {
         self.states.last().cloned().unwrap_or_default()
     }
 
     fn change(&mut self, change: impl FnOnce(&mut BTreeMap<usize, (u64, bool)>, u64)) {
-        let mut next = self.present();
+        let mut next = self.current();
         change(&mut next, self.number() + 1);
         self.states.push(next);
     }
@@ -192,17 +194,17 @@
         at(self.era, self.number())
     }
 
-    /// Tells a coordinator what has changed since its last list, if that is of this history.
-    fn tell(&self, coordinator: &mut RunnerTable) {
+    /// Applies the changes since the last list of a coordinator, if that list belongs to this history.
+    fn apply_changes(&self, coordinator: &mut RunnerTable) {
         let known = StoreRevision::from_ordered(coordinator.revision());
-        let is_of_this = known.era == StoreEra::new(self.era) && known.number > 0;
-        if !is_of_this || known.number >= self.number() {
+        let is_same_history = known.era == StoreEra::new(self.era) && known.number > 0;
+        if !is_same_history || known.number >= self.number() {
             return;
         }
         let before = &self.states[usize::try_from(known.number).unwrap() - 1];
         for index in before
             .keys()
-            .filter(|index| !self.present().contains_key(index))
+            .filter(|index| !self.current().contains_key(index))
         {
             coordinator.remove(&id(*index), self.at());
         }
@@ -214,8 +216,8 @@
     }
 
     fn list(&self) -> Vec<Runner> {
-        let present = self.present().into_iter();
-        let listed = present
+        let current = self.current().into_iter();
+        let listed = current
             .map(|(index, (number, draining))| runner(index, at(self.era, number), draining));
         listed.collect()
     }
@@ -229,22 +231,23 @@
         ..ProptestConfig::default()
     })]
 
-    /// A member knows what its coordinator knows once it is told, and no runner that either has seen to leave gets work.
+    /// A member has the same state as its coordinator after an update, and no runner that either saw draining is
+    /// eligible for requests again.
     #[test]
-    fn members_follow_their_coordinator_through_restores(
+    fn members_stay_consistent_with_their_coordinator_across_restores(
         steps in prop::collection::vec(step(), 1..120),
     ) {
         let mut store = History::default();
         let (mut coordinator, mut member) = (RunnerTable::default(), RunnerTable::default());
-        let mut lives = 0;
+        let mut starts = 0;
         let mut left: BTreeSet<RunnerId> = BTreeSet::new();
         for step in steps {
             match step {
-                Step::Come(index) => {
-                    // Each start has a new name.
-                    lives += 10;
+                Step::Add(index) => {
+                    // Each start of a runner has a new identity.
+                    starts += 10;
                     store.change(|runners, number| {
-                        runners.insert(lives + index, (number, false));
+                        runners.insert(starts + index, (number, false));
                     });
                 }
                 Step::Drain(index) => store.change(|runners, number| {
@@ -252,7 +255,7 @@
                         *entry = (number, true);
                     }
                 }),
-                Step::Go(index) => store.change(|runners, _| {
+                Step::Remove(index) => store.change(|runners, _| {
                     let gone = runners.keys().nth(index).copied();
                     gone.map(|gone| runners.remove(&gone));
                 }),
@@ -261,14 +264,14 @@
                     store.states.truncate(kept);
                     store.era += 1;
                 }
-                Step::ReadOfCopy => coordinator.replace_from_copy(store.list(), store.at()),
+                Step::ReadAfterRestore => coordinator.replace_from_copy(store.list(), store.at()),
                 Step::Read => coordinator.replace(store.list(), store.at()),
-                Step::Watch => store.tell(&mut coordinator),
-                Step::Tell if coordinator.updates_after(0).is_some() => {
-                    tell(&coordinator, &mut member);
+                Step::Watch => store.apply_changes(&mut coordinator),
+                Step::Update if coordinator.updates_after(0).is_some() => {
+                    update_member(&coordinator, &mut member);
                     prop_assert_eq!(draining(&member), draining(&coordinator));
                 }
-                Step::Tell => {}
+                Step::Update => {}
             }
             for table in [&coordinator, &member] {
                 left.extend(table.iter().filter(|it| it.draining).map(|it| it.id.clone()));
--- a/crates/routing/tests/upgrade.rs
+++ b/crates/routing/tests/upgrade.rs
@@ -1,10 +1,10 @@
-//! A daemon of an earlier build, which knows nothing of eras of the store, beside ones of this build while the store comes
-//! back from a copy.
+//! Legacy daemons, which do not know eras of the store, next to daemons of this build while the store is restored from
+//! a backup.
 //!
-//! Such a daemon orders changes of runners by the store's numbers as they stand. It is played here by the same table of
-//! runners, which is told those numbers, and by the decoder of that build. By reading, then by these tests: a coordinator of
-//! this build told it revisions that grow by 2 to the power of 40 with each era. Once it read the store itself, all that
-//! the store told was older than that, and it took in nothing any more until it was replaced.
+//! A legacy daemon orders runner changes by the plain numbers of the store. It is simulated by the same runner table,
+//! which is given those numbers, and by the decoder of that build. The tests guard against a fault in which a
+//! coordinator of this build sent revisions that grew by 2^40 with each era: once the legacy daemon read the store
+//! itself, all data of the store counted as outdated, and it ignored the store until it was replaced.
 
 mod support;
 
@@ -35,7 +35,7 @@
     }
 }
 
-/// Says up to which revision its sender knows all changes.
+/// A message in which the sender reports up to which revision it knows all changes.
 fn known_notice(runners_revision: u64) -> Message {
     Message::Waiting(WaitNotice {
         from: "member".to_owned(),
@@ -48,9 +48,9 @@
     })
 }
 
-fn revision_told(message: &Message) -> u64 {
+fn reported_revision(message: &Message) -> u64 {
     let Message::Waiting(notice) = message else {
-        panic!("not what it knows");
+        panic!("expected a waiting notice");
     };
     notice.known.runners_revision
 }
@@ -68,14 +68,14 @@
     })
 }
 
-/// A daemon of the build before.
+/// A daemon of a legacy build.
 #[derive(Default)]
-struct Earlier {
+struct Legacy {
     runners: RunnerTable,
 }
 
-impl Earlier {
-    /// Says up to which revision it knows all changes.
+impl Legacy {
+    /// Encodes a report of the revision up to which it knows all changes.
     fn notice(&self) -> Vec<u8> {
         let notice = known_notice(self.runners.revision());
         postcard::to_extend(&notice, vec![7]).unwrap()
@@ -83,19 +83,21 @@
 
     fn receive(&mut self, datagram: &[u8]) {
         let Message::StoreNews(news) = postcard::from_bytes(&datagram[1..]).unwrap() else {
-            panic!("not what the store tells");
+            panic!("expected store news");
         };
         if let Some(update) = news.membership {
-            self.runners.update(update).expect("it follows");
+            self.runners
+                .update(update)
+                .expect("the update follows the known revision");
         }
     }
 
-    fn drains(&self, index: usize) -> bool {
+    fn is_draining(&self, index: usize) -> bool {
         self.runners.get(&id(index)).is_some_and(|it| it.draining)
     }
 }
 
-/// A daemon of this build that watches the store and tells the other one.
+/// A daemon of this build that watches the store and sends updates to a legacy one.
 struct Watcher {
     hops: NextHops,
     runners: RunnerTable,
@@ -118,87 +120,92 @@
         self.hops.note_known(self.runners.revision());
     }
 
-    /// Hears what the other one knows, and tells it the rest.
-    fn tell(&mut self, earlier: &mut Earlier) {
-        let known = self.known_of(earlier);
+    /// Sends the legacy daemon the updates that it is missing.
+    fn send_updates(&mut self, legacy: &mut Legacy) {
+        let known = self.known_of(legacy);
         for update in self.runners.updates_after(known).unwrap() {
             let news = news(&self.runners, update);
             for (_, datagram) in self.hops.datagrams(address(2), &news, NOW) {
-                earlier.receive(&datagram);
+                legacy.receive(&datagram);
             }
         }
     }
 
-    fn known_of(&mut self, earlier: &Earlier) -> u64 {
-        self.revision_in(&earlier.notice())
+    fn known_of(&mut self, legacy: &Legacy) -> u64 {
+        self.revision_in(&legacy.notice())
     }
 
     fn revision_in(&mut self, notice: &[u8]) -> u64 {
-        revision_told(&self.read_message(notice))
+        reported_revision(&self.read_message(notice))
     }
 
     fn read_message(&mut self, datagram: &[u8]) -> Message {
         let received = self.hops.received(address(2), datagram, NOW);
         let Received::Arrival(arrival) = received.unwrap() else {
-            panic!("not for this daemon");
+            panic!("expected a message for this daemon");
         };
         arrival.message
     }
 }
 
-/// Both know the list up to 65; the store comes back as it was at 48.
-fn restored() -> (Watcher, Earlier) {
-    let (mut watcher, mut earlier) = (Watcher::new(), Earlier::default());
+/// Both know the list up to revision 65; the store is then restored to its state at revision 48.
+fn restored() -> (Watcher, Legacy) {
+    let (mut watcher, mut legacy) = (Watcher::new(), Legacy::default());
     let before = vec![runner(0, 40, false), runner(1, 65, false)];
     watcher.list(before, revision(0, 65));
-    watcher.tell(&mut earlier);
-    assert_eq!(earlier.runners.revision(), 65);
+    watcher.send_updates(&mut legacy);
+    assert_eq!(legacy.runners.revision(), 65);
     let copy = vec![runner(0, at(1, 40), false), runner(1, at(1, 44), false)];
     watcher.list(copy, revision(1, 48));
-    watcher.tell(&mut earlier);
-    (watcher, earlier)
+    watcher.send_updates(&mut legacy);
+    (watcher, legacy)
 }
 
 #[test]
-fn an_earlier_build_is_told_of_a_leave_under_a_number_given_out_again() {
-    let (mut watcher, mut earlier) = restored();
+fn a_legacy_build_learns_of_a_drain_with_a_reused_number() {
+    let (mut watcher, mut legacy) = restored();
     watcher
         .runners
         .insert(runner(1, at(1, 50), true), at(1, 50));
     watcher.runners.set_revision(at(1, 50));
-    watcher.tell(&mut earlier);
-    assert!(earlier.drains(1));
-    assert!(!earlier.drains(0));
+    watcher.send_updates(&mut legacy);
+    assert!(legacy.is_draining(1));
+    assert!(!legacy.is_draining(0));
 }
 
-/// It takes the coordination over, or hears nobody, and reads the store. By then the store has come as far as before.
+/// It becomes coordinator, or is isolated from its peers, and reads the store. By then the store is past its old
+/// revision.
 #[test]
-fn an_earlier_build_that_was_told_of_a_restore_still_hears_the_store() {
-    let (_, mut earlier) = restored();
-    earlier.runners.insert(runner(1, 90, true), 90);
-    earlier.runners.insert(runner(2, 91, false), 91);
-    earlier.runners.set_revision(91);
-    assert!(earlier.drains(1), "it knows {}", earlier.runners.revision());
-    assert!(earlier.runners.get(&id(2)).is_some());
+fn a_legacy_build_still_accepts_store_updates_after_a_restore() {
+    let (_, mut legacy) = restored();
+    legacy.runners.insert(runner(1, 90, true), 90);
+    legacy.runners.insert(runner(2, 91, false), 91);
+    legacy.runners.set_revision(91);
+    assert!(
+        legacy.is_draining(1),
+        "it knows {}",
+        legacy.runners.revision()
+    );
+    assert!(legacy.runners.get(&id(2)).is_some());
 }
 
-/// What it has been told it is not told again and again.
+/// Otherwise it would be sent the same updates repeatedly.
 #[test]
-fn what_an_earlier_build_says_that_it_knows_is_understood() {
-    let (mut watcher, earlier) = restored();
-    assert_eq!(watcher.known_of(&earlier), at(1, 48));
+fn the_known_revision_of_a_legacy_build_is_converted() {
+    let (mut watcher, legacy) = restored();
+    assert_eq!(watcher.known_of(&legacy), at(1, 48));
 }
 
-/// What happens in one step of a fleet of both builds.
+/// An event in a fleet of both builds.
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    /// A runner of a slot comes, or begins to drain if it is there, or goes if it drains.
+    /// The runner of a slot is added, starts draining if it is present, or is removed if it is draining.
     Runner(usize),
-    /// The store comes back as it was some steps ago, and what runners have written since is written again.
+    /// The store is restored to its state some steps ago, and runners write their entries again.
     Restore(usize),
-    /// A daemon is replaced by one of the other build.
+    /// A daemon is replaced with one of the other build.
     Replace(usize),
-    /// Another daemon watches the store for the others.
+    /// Another daemon becomes coordinator, and watches the store.
     Coordinate(usize),
 }
 
@@ -212,10 +219,10 @@
 }
 
 const DAEMONS: usize = 4;
-/// Rounds of messages after the last fault in which all must be told.
-const CALM_ROUNDS: usize = 3;
+/// Number of lossless rounds within which all daemons must converge.
+const LOSSLESS_ROUNDS: usize = 3;
 
-/// The store's list of runners: revision and whether it drains.
+/// Runner entries of the store: revision and whether the runner is draining.
 type Entries = BTreeMap<usize, (u64, bool)>;
 
 #[derive(Default)]
@@ -223,8 +230,8 @@
     entries: Entries,
     number: u64,
     era: u64,
-    copies: Vec<(Entries, u64)>,
-    /// The last runner of each slot; no two have the same identity.
+    backups: Vec<(Entries, u64)>,
+    /// Latest runner of each slot; identities are never reused.
     slots: BTreeMap<usize, usize>,
     runners: usize,
 }
@@ -254,9 +261,9 @@
 
     fn restore(&mut self, steps: usize) {
         let truth = self.entries.clone();
-        let kept = self.copies.len().saturating_sub(steps);
-        (self.entries, self.number) = self.copies.get(kept).cloned().unwrap_or_default();
-        self.copies.truncate(kept);
+        let kept = self.backups.len().saturating_sub(steps);
+        (self.entries, self.number) = self.backups.get(kept).cloned().unwrap_or_default();
+        self.backups.truncate(kept);
         self.era += 1;
         for (&index, &(_, draining)) in &truth {
             self.write(index, draining);
@@ -265,7 +272,7 @@
         self.number += 1;
     }
 
-    /// The list as a daemon reads it that knows of eras, or of none.
+    /// The list as read by an era-aware daemon, or with era 0 by a legacy one.
     fn list(&self, era: u64) -> Vec<Runner> {
         let entries = self.entries.iter();
         let runners =
@@ -274,17 +281,17 @@
     }
 }
 
-/// A daemon of either build.
+/// A daemon of this or a legacy build.
 enum Daemon {
-    Present(Box<Watcher>),
-    Earlier(Box<Earlier>),
+    Current(Box<Watcher>),
+    Legacy(Box<Legacy>),
 }
 
 impl Daemon {
-    /// A daemon starts. One of this build learns the era from its first look at the lease.
-    fn start(is_present: bool, index: usize, store: &Store) -> Self {
-        if !is_present {
-            return Self::Earlier(Box::default());
+    /// Starts a daemon. One of this build learns the era when it first reads the lease.
+    fn start(is_current: bool, index: usize, store: &Store) -> Self {
+        if !is_current {
+            return Self::Legacy(Box::default());
         }
         let mut hops = NextHops::new(address(u8::try_from(index).unwrap()));
         hops.note_era(EraStart {
@@ -292,45 +299,45 @@
             known_before: 0,
         });
         let runners = RunnerTable::default();
-        Self::Present(Box::new(Watcher { hops, runners }))
+        Self::Current(Box::new(Watcher { hops, runners }))
     }
 
-    fn is_present(&self) -> bool {
-        matches!(self, Self::Present(_))
+    fn is_current(&self) -> bool {
+        matches!(self, Self::Current(_))
     }
 
     fn runners(&self) -> &RunnerTable {
         match self {
-            Self::Present(daemon) => &daemon.runners,
-            Self::Earlier(daemon) => &daemon.runners,
+            Self::Current(daemon) => &daemon.runners,
+            Self::Legacy(daemon) => &daemon.runners,
         }
     }
 
     /// Reads the store's list.
     fn read(&mut self, store: &Store) {
         match self {
-            Self::Present(daemon) => {
+            Self::Current(daemon) => {
                 daemon.list(store.list(store.era), revision(store.era, store.number))
             }
-            Self::Earlier(daemon) => daemon.runners.replace(store.list(0), store.number),
+            Self::Legacy(daemon) => daemon.runners.replace(store.list(0), store.number),
         }
     }
 
     fn notice(&self) -> Vec<u8> {
         match self {
-            Self::Earlier(daemon) => daemon.notice(),
-            Self::Present(daemon) => {
+            Self::Legacy(daemon) => daemon.notice(),
+            Self::Current(daemon) => {
                 let notice = known_notice(daemon.runners.revision());
                 daemon.hops.datagrams(address(9), &notice, NOW).remove(0).1
             }
         }
     }
 
-    /// Hears up to which revision another one knows all changes, and returns what it lacks.
+    /// Returns the updates that the sender of a notice is missing.
     fn answer(&mut self, notice: &[u8]) -> Vec<Vec<u8>> {
         let known = match self {
-            Self::Present(daemon) => daemon.revision_in(notice),
-            Self::Earlier(_) => revision_told(&postcard::from_bytes(&notice[1..]).unwrap()),
+            Self::Current(daemon) => daemon.revision_in(notice),
+            Self::Legacy(_) => reported_revision(&postcard::from_bytes(&notice[1..]).unwrap()),
         };
         let updates = self.runners().updates_after(known).unwrap_or_default();
         let news = updates
@@ -339,10 +346,10 @@
         let news: Vec<Message> = news.collect();
         let news = news.into_iter();
         match self {
-            Self::Present(daemon) => news
+            Self::Current(daemon) => news
                 .map(|news| daemon.hops.datagrams(address(9), &news, NOW).remove(0).1)
                 .collect(),
-            Self::Earlier(_) => news
+            Self::Legacy(_) => news
                 .map(|news| postcard::to_extend(&news, vec![7]).unwrap())
                 .collect(),
         }
@@ -350,18 +357,18 @@
 
     fn receive(&mut self, datagram: &[u8]) {
         let message = match self {
-            Self::Earlier(_) => postcard::from_bytes(&datagram[1..]).unwrap(),
-            Self::Present(daemon) => daemon.read_message(datagram),
+            Self::Legacy(_) => postcard::from_bytes(&datagram[1..]).unwrap(),
+            Self::Current(daemon) => daemon.read_message(datagram),
         };
         let Message::StoreNews(news) = message else {
-            panic!("not what the store tells");
+            panic!("expected store news");
         };
         let runners = match self {
-            Self::Present(daemon) => &mut daemon.runners,
-            Self::Earlier(daemon) => &mut daemon.runners,
+            Self::Current(daemon) => &mut daemon.runners,
+            Self::Legacy(daemon) => &mut daemon.runners,
         };
         if let Some(update) = news.membership {
-            // What does not follow is told again.
+            // An update that does not follow the known revision is resent later.
             let _ = runners.update(update);
         }
     }
@@ -373,7 +380,7 @@
     }
 }
 
-/// Tells the others what they lack; each message may be lost.
+/// Sends all other daemons the updates that they are missing; each message may be lost.
 fn round(daemons: &mut [Daemon], coordinator: usize, is_lost: &mut impl FnMut() -> bool) {
     for member in (0..daemons.len()).filter(|&member| member != coordinator) {
         let notice = daemons[member].notice();
@@ -396,11 +403,11 @@
         ..ProptestConfig::default()
     })]
 
-    /// Daemons are replaced and taken back one after the other in any order, any of this build may watch the store, the store
-    /// comes back from copies and messages are lost. Once none is lost, and a daemon watches the store that has known it since
-    /// before the first restore, all of both builds know its list.
+    /// Daemons are upgraded and downgraded in any order, any daemon of this build may watch the store, the store is
+    /// restored from backups, and messages are lost. Once no messages are lost, and the store is watched by a daemon
+    /// that has seen it since before the first restore, all daemons of both builds know its list.
     #[test]
-    fn both_builds_come_to_know_the_list_from_one_of_this_build(
+    fn both_builds_converge_on_the_list_read_by_this_build(
         present in prop::collection::vec(any::<bool>(), DAEMONS),
         events in prop::collection::vec(event(), 1..120),
         losses in prop::collection::vec(any::<bool>(), 1_500),
@@ -415,19 +422,19 @@
                 Event::Runner(index) => store.change(index),
                 Event::Restore(steps) => store.restore(steps),
                 Event::Replace(index) => {
-                    daemons[index] = Daemon::start(!daemons[index].is_present(), index, &store);
+                    daemons[index] = Daemon::start(!daemons[index].is_current(), index, &store);
                 }
                 Event::Coordinate(index) => coordinator = index,
             }
-            if !daemons[coordinator].is_present() {
+            if !daemons[coordinator].is_current() {
                 coordinator = 0;
             }
-            store.copies.push((store.entries.clone(), store.number));
+            store.backups.push((store.entries.clone(), store.number));
             daemons[coordinator].read(&store);
             round(&mut daemons, coordinator, &mut is_lost);
         }
         let coordinator = 0;
-        for _ in 0..CALM_ROUNDS {
+        for _ in 0..LOSSLESS_ROUNDS {
             store.change(0);
             daemons[coordinator].read(&store);
             round(&mut daemons, coordinator, &mut || false);
--- a/crates/routing/tests/wire/configuration.rs
+++ b/crates/routing/tests/wire/configuration.rs
@@ -1,4 +1,4 @@
-//! A configuration with something in each field.
+//! A sample configuration with every field set.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/routing/tests/wire/parts.rs
+++ b/crates/routing/tests/wire/extensions.rs
@@ -1,10 +1,10 @@
-//! The parts behind a message, as bytes: `parts.txt` holds what the first build that wrote them put behind one message.
+//! Encoding of the extensions after a message: `extensions.txt` has them as encoded by the first build that wrote them.
 
 use flaxward_routing::encoding::Encoding;
 use flaxward_routing::messages::{KnownState, Message, WaitNotice};
 use flaxward_routing::revision::{EraStart, StoreEra, StoreRevision};
 
-const PARTS: &str = include_str!("parts.txt");
+const EXTENSIONS: &str = include_str!("extensions.txt");
 
 fn revision(era: u64, number: u64) -> StoreRevision {
     StoreRevision {
@@ -43,7 +43,7 @@
     encoding
 }
 
-/// What each sender is, with the revision that it tells.
+/// Senders by name, each with the revision that it reports.
 fn samples() -> Vec<(&'static str, Encoding, StoreRevision)> {
     vec![
         ("store-unknown", Encoding::default(), revision(0, 0)),
@@ -58,17 +58,17 @@
 }
 
 #[test]
-fn parts_keep_their_bytes() {
+fn the_encoding_of_extensions_is_stable() {
     let written = samples().into_iter().map(|(name, sender, known)| {
         let bytes = sender.encode(&notice(known));
         format!("{name} {}\n", hexadecimal(&bytes))
     });
-    assert_eq!(written.collect::<String>(), PARTS);
+    assert_eq!(written.collect::<String>(), EXTENSIONS);
 }
 
 #[test]
-fn parts_of_earlier_builds_are_understood() {
-    for ((_, _, known), line) in samples().into_iter().zip(PARTS.lines()) {
+fn extensions_of_earlier_builds_are_decoded() {
+    for ((_, _, known), line) in samples().into_iter().zip(EXTENSIONS.lines()) {
         let (_, digits) = line.split_once(' ').unwrap();
         let byte = |at: usize| u8::from_str_radix(&digits[at..at + 2], 16).unwrap();
         let bytes: Vec<u8> = (0..digits.len()).step_by(2).map(byte).collect();
--- a/crates/routing/tests/wire/main.rs
+++ b/crates/routing/tests/wire/main.rs
@@ -1,10 +1,13 @@
-//! What earlier builds send and expect, as bytes: builds run side by side while machines are replaced one after the other,
-//! in either order. `messages.txt` holds one message of each kind, and `configuration.txt` a configuration in parts, as the
-//! first build encoded them that others must go with; a later kind as the first build that has it.
-//! A change that makes these tests fail cuts a fleet in two halves; new facts go behind the message, or in a new kind.
+//! Wire compatibility with earlier builds, which run side by side with later ones during a rolling upgrade or
+//! downgrade.
+//!
+//! `messages.txt` has one message of each kind, and `configuration.txt` a configuration in parts, as encoded by the
+//! first build with which later ones must be compatible; kinds added later are as encoded by the first build that has
+//! them. A change that makes these tests fail splits a fleet into two halves that do not understand each other. New
+//! data goes into an extension after the message, or into a new kind of message.
 
 mod configuration;
-mod parts;
+mod extensions;
 mod samples;
 
 use std::net::SocketAddr;
@@ -20,7 +23,7 @@
 const MESSAGES: &str = include_str!("messages.txt");
 const CONFIGURATION: &str = include_str!("configuration.txt");
 
-/// Kinds and bytes of messages as an earlier build encoded them.
+/// Parses the kinds and bytes of messages encoded by an earlier build.
 fn earlier(text: &'static str) -> Vec<(&'static str, Vec<u8>)> {
     let lines = text.lines();
     let messages = lines.map(|line| {
@@ -41,7 +44,7 @@
 }
 
 #[test]
-fn messages_of_earlier_builds_are_understood() {
+fn messages_of_earlier_builds_are_decoded() {
     let samples = samples::all();
     assert_eq!(earlier(MESSAGES).len(), samples.len());
     for ((kind, bytes), (expected_kind, expected)) in earlier(MESSAGES).into_iter().zip(samples) {
@@ -50,9 +53,9 @@
     }
 }
 
-/// Earlier builds read nothing behind a message, so what follows the same bytes does not matter to them.
+/// Earlier builds ignore bytes after a message, so a message may be followed by extensions.
 #[test]
-fn earlier_builds_understand_what_is_sent() {
+fn earlier_builds_decode_sent_messages() {
     for ((kind, bytes), (_, message)) in earlier(MESSAGES).into_iter().zip(samples::all()) {
         let sent = encoding().encode(&message);
         assert_eq!(sent[..bytes.len()], bytes, "{kind}");
@@ -63,7 +66,7 @@
 }
 
 #[test]
-fn a_configuration_is_passed_on_in_the_same_parts() {
+fn a_configuration_is_split_into_the_same_parts() {
     let encoded = EncodedConfiguration::of(&configuration::configuration());
     let chunks = encoded.chunks_for(&[]).into_iter();
     let own: Vec<Message> = chunks.map(Message::ConfigurationChunk).collect();
@@ -78,7 +81,7 @@
         let Message::ConfigurationChunk(chunk) = message else {
             panic!("{message:?}");
         };
-        whole = assembly.take(&chunk).or(whole);
+        whole = assembly.add(&chunk).or(whole);
     }
     let decoded = whole.unwrap().decode().unwrap();
     assert_eq!(decoded.version, 34);
@@ -88,9 +91,9 @@
     );
 }
 
-/// The store keeps it over a change of builds. Earlier ones pass over fields that they do not know, and need all others.
+/// The record stays in the store across an upgrade. Earlier builds ignore unknown fields, and require all others.
 #[test]
-fn the_lease_record_holds_all_that_earlier_builds_read() {
+fn the_lease_record_has_all_fields_required_by_earlier_builds() {
     let address = SocketAddr::from(([10, 0, 0, 1], 7_080));
     let record = LeaseRecord {
         holder: "d1".to_owned(),
--- a/crates/routing/tests/wire/samples.rs
+++ b/crates/routing/tests/wire/samples.rs
@@ -1,4 +1,4 @@
-//! One message of each kind, with something in each field.
+//! A sample message of each kind, with every field set.
 
 use std::net::SocketAddr;
 
@@ -358,7 +358,7 @@
     ]
 }
 
-/// All of them, each with its kind as the counters name it.
+/// All sample messages, each with its kind as labelled in metrics.
 pub fn all() -> Vec<(&'static str, Message)> {
     let messages = members_messages().into_iter();
     let messages = messages.chain(keepers_messages()).chain(other_messages());
