--- a/crates/routing/src/balance.rs
+++ b/crates/routing/src/balance.rs
@@ -220,7 +220,7 @@
     };
     let utilization = utilization(context, runner, in_flight);
     let proximity = match context.availability.locality.distance(&runner.zone) {
-        Distance::Zone if utilization >= LOCAL_UTILIZATION => Distance::Region,
+        Distance::SameZone if utilization >= LOCAL_UTILIZATION => Distance::SameRegion,
         distance => distance,
     };
     let hash = hash(criteria.affinity.unwrap_or(context.random), runner);
@@ -237,9 +237,9 @@
     let utilization = utilization(context, runner, in_flight);
     let free = (1.0 - utilization).max(MIN_FREE_FRACTION);
     let weight = match context.availability.locality.distance(&runner.zone) {
-        Distance::Zone => free * OWN_ZONE_WEIGHT,
-        Distance::Region => free,
-        Distance::Abroad => free * OTHER_REGION_WEIGHT,
+        Distance::SameZone => free * OWN_ZONE_WEIGHT,
+        Distance::SameRegion => free,
+        Distance::OtherRegion => free * OTHER_REGION_WEIGHT,
     };
     let condition = match condition(context, runner, in_flight) {
         Condition::Busy => Condition::Healthy,
@@ -247,7 +247,7 @@
     };
     Rank {
         condition,
-        proximity: Distance::Region,
+        proximity: Distance::SameRegion,
         load: 0,
         score: score(hash(context.random, runner), weight),
     }
--- a/crates/routing/src/messages.rs
+++ b/crates/routing/src/messages.rs
@@ -11,7 +11,7 @@
 use crate::evacuation::Evacuations;
 use crate::holdings_digests::HoldingsDigests;
 use crate::homes::Requirement;
-use crate::lease::LeasePulse;
+use crate::lease::LeaseHeartbeat;
 use crate::membership::MembershipUpdate;
 use crate::names::{RunnerId, ServiceName, Unit, Zone};
 use crate::next_hop::Forwarded;
@@ -211,7 +211,7 @@
     /// Term of the coordinator.
     pub term: u64,
     /// Lease of the coordinator.
-    pub lease: LeasePulse,
+    pub lease: LeaseHeartbeat,
     /// Address on which the coordinator receives messages from members.
     pub address: SocketAddr,
     /// Number of daemons it has heard from recently, including itself.
@@ -254,7 +254,7 @@
     /// A message without updates of runners, members or zones; it carries only the coordinator's lease and address and
     /// the state of the store and the quotas.
     pub fn heartbeat(
-        lease: LeasePulse,
+        lease: LeaseHeartbeat,
         address: SocketAddr,
         store: StoreState,
         quota: QuotaNews,
--- a/crates/routing/src/runners.rs
+++ b/crates/routing/src/runners.rs
@@ -188,7 +188,7 @@
         for runner in listed {
             self.insert(runner, revision);
         }
-        self.membership.begin_at(revision);
+        self.membership.start_at(revision);
     }
 
     /// Applies a runner's entry as read from the store at a revision. It ends any other known incarnation of the runner.
@@ -212,7 +212,7 @@
             } else {
                 runner.revision
             };
-            self.membership.note(&name, changed_at, false);
+            self.membership.record(&name, changed_at, false);
         }
         if known.is_some_and(|known| known.id != runner.id) {
             self.forget_incarnations(&name, Some(&runner.id));
@@ -236,7 +236,7 @@
             return;
         }
         self.changes += 1;
-        self.membership.note(name, revision, true);
+        self.membership.record(name, revision, true);
         let Some(gone) = self.runners.remove(name) else {
             return;
         };
@@ -257,7 +257,7 @@
     pub fn record_cold_period(&mut self, id: &RunnerId) {
         let runner = self.get(id).map(|it| (it.id.name().clone(), it.revision));
         if let Some((name, revision)) = runner.filter(|(_, revision)| *revision > 0) {
-            self.membership.note(&name, revision, false);
+            self.membership.record(&name, revision, false);
         }
     }
 
@@ -373,7 +373,7 @@
                 self.apply_change(change, starts_cold_period)
             })
             .collect();
-        self.membership.begin_at(list.until);
+        self.membership.start_at(list.until);
         updated
     }
 
--- a/crates/routing/tests/large_fleet.rs
+++ b/crates/routing/tests/large_fleet.rs
@@ -7,7 +7,8 @@
 use std::time::Duration;
 
 use flaxward_routing::lease::{
-    LeaseAnswer, LeaseCall, LeaseChange, LeaseMachine, LeasePulse, LeaseSettings, StoredLease,
+    LeaseAnswer, LeaseCall, LeaseChange, LeaseHeartbeat, LeaseSettings, LeaseStateMachine,
+    StoredLease,
 };
 use flaxward_routing::messages::StoreState;
 use flaxward_routing::names::Zone;
@@ -97,7 +98,7 @@
 }
 
 struct Daemon {
-    lease: LeaseMachine,
+    lease: LeaseStateMachine,
     trust: StoreTrust,
     role: WatchRole,
     coordinator: Option<(SocketAddr, u64)>,
@@ -113,7 +114,7 @@
 impl Daemon {
     fn new(index: usize, incarnation: u64, now: Timestamp) -> Self {
         let name = format!("d{index:03}");
-        let lease = LeaseMachine::new(lease_settings(), name, incarnation, address(index));
+        let lease = LeaseStateMachine::new(lease_settings(), name, incarnation, address(index));
         let seed = u64::try_from(index).unwrap() * 37;
         Self {
             lease: lease.with_strength(strength(index)),
@@ -134,7 +135,7 @@
 /// Message from a coordinator to a member.
 struct Heartbeat {
     from: SocketAddr,
-    pulse: LeasePulse,
+    pulse: LeaseHeartbeat,
     standby: StandbyPlace,
     state: StoreState,
 }
@@ -213,7 +214,7 @@
             if answer != LeaseAnswer::Unknown {
                 daemon.answered_at = now;
             }
-            change = daemon.lease.answered(answer, now).or(change);
+            change = daemon.lease.handle_answer(answer, now).or(change);
         }
         match change {
             Some(LeaseChange::Acquired { term, .. }) => self.lease_acquired(index, term),
@@ -233,7 +234,7 @@
         daemon.role = WatchRole::Coordinator;
         daemon.coordinator = Some((address(index), term));
         // A standby knows the addresses of the members.
-        if let Some(pulse) = daemon.lease.pulse(self.now) {
+        if let Some(pulse) = daemon.lease.heartbeat(self.now) {
             let known: Vec<usize> = daemon.heard_from.keys().copied().collect();
             let state = self.store_state(index);
             for member in known {
@@ -250,7 +251,7 @@
         let standbys = self.daemons[index].standbys.names().to_vec();
         for name in standbys {
             let standby: usize = name[1..].parse().unwrap();
-            self.daemons[standby].lease.ended(term, now);
+            self.daemons[standby].lease.handle_term_ended(term, now);
         }
     }
 
@@ -291,7 +292,7 @@
         let now = self.now;
         let state = self.store_state(index);
         let daemon = &mut self.daemons[index];
-        let Some(pulse) = daemon.lease.pulse(now) else {
+        let Some(pulse) = daemon.lease.heartbeat(now) else {
             return;
         };
         if now.since(daemon.heartbeat_at) < HEARTBEAT_INTERVAL {
@@ -324,7 +325,7 @@
         &mut self,
         member: usize,
         from: usize,
-        pulse: LeasePulse,
+        pulse: LeaseHeartbeat,
         standby: StandbyPlace,
         state: StoreState,
     ) {
@@ -344,12 +345,14 @@
         let now = self.now;
         self.follow(index, heartbeat.from, heartbeat.pulse.term);
         let daemon = &mut self.daemons[index];
-        daemon.lease.heard(heartbeat.pulse, now);
+        daemon.lease.handle_heartbeat(heartbeat.pulse, now);
         daemon.lease.set_strongest(strength(0));
         if let Some(stands_by) = heartbeat.standby.stands_by() {
             daemon.lease.set_stands_by(stands_by);
         }
-        daemon.trust.heard(heartbeat.from, &heartbeat.state, now);
+        daemon
+            .trust
+            .record_report(heartbeat.from, &heartbeat.state, now);
         if daemon.role == WatchRole::Coordinator {
             return;
         }
@@ -368,7 +371,7 @@
         let now = self.now;
         let is_down = self.store.is_down;
         let daemon = &mut self.daemons[index];
-        if now < daemon.call_at || daemon.trust.stands_until(daemon.role, now).is_some() {
+        if now < daemon.call_at || daemon.trust.fresh_until(daemon.role, now).is_some() {
             return;
         }
         daemon.call_at = now + STORE_CALL_INTERVAL;
@@ -385,7 +388,7 @@
             if member != index && self.daemons[member].is_running {
                 self.daemons[member]
                     .trust
-                    .heard(address(index), &state, now);
+                    .record_report(address(index), &state, now);
             }
         }
     }
