--- a/crates/routing/src/legacy_revisions.rs
+++ b/crates/routing/src/legacy_revisions.rs
@@ -20,13 +20,13 @@
     /// Store number at which the era starts.
     first: u64,
     /// Legacy number of `first`; not lower than `first`.
-    legacy_start: u64,
+    begins_at: u64,
 }
 
 impl EraNumbering {
     /// Difference between legacy numbers and store numbers.
     fn offset(&self) -> u64 {
-        self.legacy_start.saturating_sub(self.first)
+        self.begins_at.saturating_sub(self.first)
     }
 }
 
@@ -71,7 +71,7 @@
             era,
             first: start.first.number,
             // Not lower than what the receiver may have read from the store.
-            legacy_start: start.first.number.max(last_before + 1),
+            begins_at: start.first.number.max(last_before + 1),
         });
         self.restore_order();
     }
@@ -99,7 +99,7 @@
             .legacy_number(latest)
             .is_some_and(|highest| reported > highest);
         if let Some(last) = self.later.last_mut().filter(|_| is_higher) {
-            last.legacy_start = reported + 1;
+            last.begins_at = reported + 1;
         }
     }
 
@@ -107,8 +107,8 @@
     fn restore_order(&mut self) {
         let mut last_start = 0;
         for numbers in &mut self.later {
-            numbers.legacy_start = numbers.legacy_start.max(last_start + 1);
-            last_start = numbers.legacy_start;
+            numbers.begins_at = numbers.begins_at.max(last_start + 1);
+            last_start = numbers.begins_at;
         }
         let surplus = self.later.len().saturating_sub(MAX_ERAS);
         self.later.drain(..surplus);
@@ -125,25 +125,25 @@
     fn legacy_number(&self, ordered: u64) -> Option<u64> {
         let revision = StoreRevision::from_ordered(ordered);
         let next = self.later.iter().find(|it| it.era > revision.era);
-        let last = next.map_or(u64::MAX, |next| next.legacy_start.saturating_sub(1));
+        let last = next.map_or(u64::MAX, |next| next.begins_at.saturating_sub(1));
         if revision.era == self.first_era {
             return Some(revision.number.min(last));
         }
         let numbers = self.later.iter().find(|it| it.era == revision.era)?;
         let since_first = revision.number.saturating_sub(numbers.first);
-        Some(numbers.legacy_start.saturating_add(since_first).min(last))
+        Some(numbers.begins_at.saturating_add(since_first).min(last))
     }
 
     /// Ordered revision of a legacy number. A number that the sender read from the store maps to an earlier revision
     /// than the actual one, so the sender receives too many updates rather than too few.
     pub fn revision(&self, number: u64) -> u64 {
         let mut latest_first = self.later.iter().rev();
-        let numbers = latest_first.find(|it| number >= it.legacy_start);
+        let numbers = latest_first.find(|it| number >= it.begins_at);
         let includes_era = StoreEra::of(number) > StoreEra::FIRST;
         match numbers {
             Some(numbers) if !includes_era => StoreRevision {
                 era: numbers.era,
-                number: numbers.first.saturating_add(number - numbers.legacy_start),
+                number: numbers.first.saturating_add(number - numbers.begins_at),
             }
             .ordered(),
             _ => number.saturating_add(self.first_era.start()),
