--- a/crates/control/src/coordinator/answers.rs
+++ b/crates/control/src/coordinator/answers.rs
@@ -10,7 +10,7 @@
 use super::interface::{CoordinatorAction, DecisionKind};
 use super::leading::{Block, Context, Leading};
 use super::loads::Tier;
-use super::sample::{SAMPLE, sample};
+use super::sample::{SAMPLE_SIZE, sample};
 use crate::observation::is_near;
 
 /// Estimate added while something else has to happen before the load.
@@ -125,7 +125,7 @@
         if sent.is_none_or(|sent| sent.still_holds(&ready, &outlook, context.now)) {
             self.note_sent(artifact, &ready, &outlook, context.now);
         }
-        let sample = sample(gateway, ready, SAMPLE);
+        let sample = sample(gateway, ready, SAMPLE_SIZE);
         let told = self.answers.told(artifact, gateway);
         let held = told.filter(|told| {
             Some(told.version) == *known && told.names(&sample) && told.has_loads_of(&sample)
@@ -174,7 +174,7 @@
             context.demands.gateways(artifact).cloned().collect();
         gateways.extend(self.answers.informed(artifact).cloned());
         for gateway in gateways {
-            let sample = sample(&gateway, ready.to_vec(), SAMPLE);
+            let sample = sample(&gateway, ready.to_vec(), SAMPLE_SIZE);
             let told = self.answers.told(artifact, &gateway);
             if told.is_some_and(|told| told.names(&sample)) {
                 continue;
--- a/crates/control/src/coordinator/blocks.rs
+++ b/crates/control/src/coordinator/blocks.rs
@@ -1,4 +1,4 @@
-//! Why a replica that is wanted is not being loaded, and where its callers are sent.
+//! Determines why a required replica is not being loaded, and where its callers are redirected.
 
 use std::time::Duration;
 
@@ -9,16 +9,17 @@
 use super::leading::{Block, Context, Leading};
 use super::placement::subject_of;
 
-/// Time after the start of a term in which runners may not have been sealed yet.
-const SETTLING: Duration = Duration::from_secs(10);
-/// When to ask again after a refusal for want of memory or quota.
-pub(super) const ASK_AGAIN: Duration = Duration::from_secs(5);
-/// Demand that has lasted this long is not sent to other zones again, for as long as
-/// [`ASK_AGAIN`].
-const ELSEWHERE_LIMIT: Duration = Duration::from_secs(10);
+/// Time after the start of a term during which runners may not have been sealed yet.
+const SEALING_GRACE: Duration = Duration::from_secs(10);
+/// Retry-after time of a refusal for lack of memory or quota.
+pub(super) const REFUSAL_RETRY_AFTER: Duration = Duration::from_secs(5);
+/// Demand that has lasted this long is refused instead of redirected to other zones, for a period
+/// of [`REFUSAL_RETRY_AFTER`]. Callers that wait for a requested unit are redirected again after
+/// this time.
+const REDIRECT_PERIOD: Duration = Duration::from_secs(10);
 
 impl Leading {
-    /// Failed loads have left nothing to try: a pause begins, and then all is tried again.
+    /// Starts a pause when loads have failed on every candidate; all are tried again after it.
     pub(super) fn pause_after_failures(
         &mut self,
         artifact: &ArtifactId,
@@ -28,54 +29,56 @@
         Block::Refused(ResultCode::LoadFailed, until.since(context.now))
     }
 
-    /// Why a replica that would fit has no slot.
-    pub(super) fn without_slot(
+    /// The reason why a replica that would fit has no slot.
+    pub(super) fn block_without_slot(
         &mut self,
         artifact: &ArtifactId,
         subject: &QuotaSubject,
         context: &Context,
     ) -> Block {
         if context.in_outage {
-            return self.without_slot_in_outage(subject);
+            return self.block_without_slot_in_outage(subject);
         }
         let rule = self.rule(subject, context);
         if rule.limit == 0 {
-            return Block::Refused(ResultCode::NoQuota, ASK_AGAIN);
+            return Block::Refused(ResultCode::NoQuota, REFUSAL_RETRY_AFTER);
         }
         if !self.quotas.loaded() || self.quotas.record(subject).is_none() {
             return Block::Waiting;
         }
         let units = self.quotas.units(subject);
         if units == 0 {
-            return self.without_units(artifact, subject, context);
+            return self.block_without_units(artifact, subject, context);
         }
         if !context.may_record {
-            // Until the lease is confirmed, nothing can be put in the place of another slot.
+            // Until the lease is confirmed, no slot can be replaced by another.
             return Block::Waiting;
         }
-        if self.quotas.claimed_units(subject) < units || self.slot_is_coming(artifact, context) {
+        if self.quotas.claimed_units(subject) < units || self.will_have_free_slot(artifact, context)
+        {
             return Block::Waiting;
         }
         let others = self.quotas.other_zones(subject);
-        if others.is_empty() || is_refused_now(artifact, context) {
-            return Block::Refused(ResultCode::NoQuota, ASK_AGAIN);
+        if others.is_empty() || is_in_refusal_period(artifact, context) {
+            return Block::Refused(ResultCode::NoQuota, REFUSAL_RETRY_AFTER);
         }
         Block::Elsewhere(others)
     }
 
-    /// Units cannot move while the store is down, so those who are sent on find them where they were
-    /// last seen. A zone that has a unit itself has nothing better to hope for elsewhere.
-    fn without_slot_in_outage(&self, subject: &QuotaSubject) -> Block {
+    /// Units cannot move while the store is down, so redirected callers find them in the zones that
+    /// the last read record names. A zone with a unit of its own refuses, since other zones are no
+    /// more likely to serve the request.
+    fn block_without_slot_in_outage(&self, subject: &QuotaSubject) -> Block {
         let others = self.quotas.other_zones(subject);
         if self.quotas.units(subject) > 0 || others.is_empty() {
-            return Block::Refused(ResultCode::NoSlotInOutage, ASK_AGAIN);
+            return Block::Refused(ResultCode::NoSlotInOutage, REFUSAL_RETRY_AFTER);
         }
         Block::Elsewhere(others)
     }
 
-    /// Callers are first sent to the zones that have the units, since a replica may be ready there.
-    /// Only those who keep coming back wait here for a unit that was asked for.
-    fn without_units(
+    /// Callers are first redirected to the zones that have the units, since a replica may be ready
+    /// there. Only those who keep coming back wait here for a requested unit.
+    fn block_without_units(
         &mut self,
         artifact: &ArtifactId,
         subject: &QuotaSubject,
@@ -83,62 +86,70 @@
     ) -> Block {
         let others = self.quotas.other_zones(subject);
         if !others.is_empty() {
-            let sent_on = self.sent_on.entry(artifact.clone());
-            sent_on.or_insert(context.now);
+            let redirected_at = self.sent_on.entry(artifact.clone());
+            redirected_at.or_insert(context.now);
         }
-        let asked = self
+        let is_requested = self
             .quotas
             .record(subject)
             .is_some_and(|quota| quota.wanted.contains_key(context.zone));
-        if others.is_empty() || (asked && self.asking_age(artifact, context) < ELSEWHERE_LIMIT) {
+        if others.is_empty()
+            || (is_requested && self.redirected_demand_age(artifact, context) < REDIRECT_PERIOD)
+        {
             return Block::Waiting;
         }
         Block::Elsewhere(others)
     }
 
-    /// How long a gateway has kept on asking for an artifact after having been sent on.
-    pub(super) fn asking_age(&self, artifact: &ArtifactId, context: &Context) -> Duration {
+    /// How long a gateway has kept renewing its demand for an artifact after a redirect.
+    pub(super) fn redirected_demand_age(
+        &self,
+        artifact: &ArtifactId,
+        context: &Context,
+    ) -> Duration {
         match self.sent_on.get(artifact) {
-            Some(sent_on) => context.demands.persistence(artifact, *sent_on),
-            // Nothing was missing here but memory.
+            Some(redirected_at) => context.demands.max_renewal_age(artifact, *redirected_at),
+            // There was no redirect for lack of units, so only memory can be missing.
             None if self.quotas.units(&subject_of(artifact)) == 0 => Duration::ZERO,
             None => demand_age(artifact, context),
         }
     }
 
-    /// Whether a slot of the subject will be free soon: something is being unloaded or written, a
-    /// runner is still to be sealed, or an idle replica of another version can go.
-    fn slot_is_coming(&mut self, artifact: &ArtifactId, context: &Context) -> bool {
+    /// Whether a slot of the subject will be free soon: an unload or a write is in progress, a runner
+    /// is not sealed yet, or an idle replica of another version can be evicted.
+    fn will_have_free_slot(&mut self, artifact: &ArtifactId, context: &Context) -> bool {
         let subject = &subject_of(artifact);
         let slots = self.placement.slots().of_subject(subject);
         let of_subject: Vec<Slot> = slots.cloned().collect();
-        let mut coming = self.placement.planned(subject) != self.placement.bound(subject);
-        // What a write of unknown outcome has left is read before anything is refused.
-        coming |= !self.placement.is_settled();
+        let mut is_expected =
+            self.placement.planned_slots(subject) != self.placement.max_slots(subject);
+        // After a write with an unknown outcome the record is read before a request is refused.
+        is_expected |= !self.placement.is_settled();
         for slot in of_subject {
-            coming |= self.unloads.contains_key(&slot) || self.is_settling(&slot.runner, context);
+            is_expected |=
+                self.unloads.contains_key(&slot) || self.is_awaiting_seal(&slot.runner, context);
             let state = self.holdings.state(&slot.artifact, &slot.runner);
-            coming |= state == Some(HeldState::Unloading);
-            if !coming && self.may_yield(&slot, artifact, context) {
+            is_expected |= state == Some(HeldState::Unloading);
+            if !is_expected && self.may_be_evicted_for(&slot, artifact, context) {
                 self.evict(&slot);
                 self.made_way.insert(slot.artifact, context.now);
-                coming = true;
+                is_expected = true;
             }
         }
-        coming
+        is_expected
     }
 
-    fn is_settling(&self, name: &RunnerName, context: &Context) -> bool {
+    fn is_awaiting_seal(&self, name: &RunnerName, context: &Context) -> bool {
         let Some(runner) = self.runners.get(name) else {
-            return context.now.since(self.since) < SETTLING;
+            return context.now.since(self.since) < SEALING_GRACE;
         };
         let sealed = runner.sealed_boot().is_some();
         !sealed && !runner.unreachable(context.now)
     }
 
-    /// Whether a replica can make way for another artifact of the same subject, or for itself on
-    /// a machine that stays or has room for its adapters.
-    fn may_yield(&self, slot: &Slot, artifact: &ArtifactId, context: &Context) -> bool {
+    /// Whether a replica can be evicted for another artifact of the same subject, or to be reloaded
+    /// on a runner that is not leaving or that has memory for its adapters.
+    fn may_be_evicted_for(&self, slot: &Slot, artifact: &ArtifactId, context: &Context) -> bool {
         let ready = self.runners.get(&slot.runner).is_some_and(|runner| {
             let held = runner.held(&slot.artifact);
             held.is_some_and(|held| held.state == HeldState::Ready)
@@ -148,7 +159,7 @@
         }
         if self.live_replicas(artifact, context.now) > 0 {
             let for_adapters = slot.artifact == *artifact && !artifact.is_adapter();
-            return for_adapters && self.is_stranded(slot, context);
+            return for_adapters && self.is_without_required_adapters(slot, context);
         }
         if !self.serves(&slot.runner, context.now) {
             return true;
@@ -159,37 +170,38 @@
         slot.artifact != *artifact && (newer || self.is_evictable(slot, context))
     }
 
-    /// Why nothing fits.
-    pub(super) fn without_memory(
+    /// The reason why the artifact fits on no runner.
+    pub(super) fn block_without_memory(
         &self,
         artifact: &ArtifactId,
         could_fit: bool,
         context: &Context,
     ) -> Block {
-        let settling = self
+        let is_any_unsealed = self
             .runners
             .keys()
-            .any(|name| self.is_settling(name, context));
-        let early = context.now.since(self.since) < SETTLING;
-        if (settling || self.runners.is_empty()) && early {
+            .any(|name| self.is_awaiting_seal(name, context));
+        let is_within_grace = context.now.since(self.since) < SEALING_GRACE;
+        if (is_any_unsealed || self.runners.is_empty()) && is_within_grace {
             return Block::Waiting;
         }
         if artifact.is_adapter() && !could_fit {
             let base = self.blocks.get(&artifact.base()).cloned();
             return base.unwrap_or(Block::Waiting);
         }
-        if self.leaves_soon(artifact) {
+        if self.is_being_unloaded(artifact) {
             return Block::Waiting;
         }
         let others = self.zones_with_memory(artifact, context);
-        if others.is_empty() || is_refused_now(artifact, context) {
-            return Block::Refused(ResultCode::NoMemory, ASK_AGAIN);
+        if others.is_empty() || is_in_refusal_period(artifact, context) {
+            return Block::Refused(ResultCode::NoMemory, REFUSAL_RETRY_AFTER);
         }
         Block::Elsewhere(others)
     }
 
-    /// Zones that may have the memory that is missing here: those with units; else all that the rule
-    /// allows, since units follow the callers. The units of an adapter go to where its base may be.
+    /// Zones that may have the memory that is missing here: those with units, otherwise all zones that
+    /// the rule allows, since units move to the zones with demand. For an adapter the units of its
+    /// base count, since an adapter can be loaded only where its base is.
     fn zones_with_memory(&self, artifact: &ArtifactId, context: &Context) -> Vec<ZoneName> {
         let subject = subject_of(&artifact.base());
         let others = self.quotas.other_zones(&subject);
@@ -200,20 +212,20 @@
         allowed.filter(|zone| zone != context.zone).collect()
     }
 
-    /// Whether the artifact itself is on its way out somewhere and can be loaded again after.
-    fn leaves_soon(&self, artifact: &ArtifactId) -> bool {
+    /// Whether the artifact is being unloaded on some runner and can be loaded again afterwards.
+    fn is_being_unloaded(&self, artifact: &ArtifactId) -> bool {
         self.unloads.keys().any(|slot| slot.artifact == *artifact)
     }
 }
 
-/// How long a gateway has kept on asking for an artifact.
+/// How long a gateway has kept renewing its demand for an artifact.
 fn demand_age(artifact: &ArtifactId, context: &Context) -> Duration {
-    context.demands.persistence(artifact, Timestamp::ZERO)
+    context.demands.max_renewal_age(artifact, Timestamp::ZERO)
 }
 
-/// Whether those who have kept on asking, and so found nothing elsewhere, are refused now. After a
-/// while they are sent on again, since another zone may have changed.
-fn is_refused_now(artifact: &ArtifactId, context: &Context) -> bool {
-    let turn = (ELSEWHERE_LIMIT + ASK_AGAIN).as_millis();
-    demand_age(artifact, context).as_millis() % turn >= ELSEWHERE_LIMIT.as_millis()
+/// Whether callers that keep renewing their demand, and so have found no replica elsewhere, are
+/// refused now. Periods of redirection and refusal alternate, since other zones may have changed.
+fn is_in_refusal_period(artifact: &ArtifactId, context: &Context) -> bool {
+    let cycle = (REDIRECT_PERIOD + REFUSAL_RETRY_AFTER).as_millis();
+    demand_age(artifact, context).as_millis() % cycle >= REDIRECT_PERIOD.as_millis()
 }
--- a/crates/control/src/coordinator/choice.rs
+++ b/crates/control/src/coordinator/choice.rs
@@ -1,4 +1,4 @@
-//! Chooses where to load: the runner that should be ready first.
+//! Chooses the runner for a load: the one with the shortest estimated time until ready.
 
 use std::time::Duration;
 
@@ -7,19 +7,19 @@
 use flaxward_types::{ArtifactId, BootId, ResultCode, RunnerName};
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::blocks::ASK_AGAIN;
-use super::leading::{Block, Context, Leading, Wanted, slot};
+use super::blocks::REFUSAL_RETRY_AFTER;
+use super::leading::{Block, Context, Leading, ReplicaTarget, slot};
 use super::ledger::Room;
 use super::loads::{Tier, remote_queued};
 use super::placement::subject_of;
 use super::weakness::Weakness;
 
-/// Time that recording a new slot is taken to cost.
-const SLOT_WRITE: Duration = Duration::from_millis(100);
-/// Time that unloading something idle is taken to cost.
-const UNLOAD: Duration = Duration::from_secs(1);
+/// Assumed duration of recording a new slot.
+const SLOT_WRITE_TIME: Duration = Duration::from_millis(100);
+/// Assumed duration of unloading an idle artifact.
+const UNLOAD_TIME: Duration = Duration::from_secs(1);
 
-/// Where to load.
+/// The runner chosen for a load, and the estimated load time there.
 #[derive(Clone, Debug)]
 pub(super) struct Choice {
     pub(super) runner: RunnerName,
@@ -28,23 +28,23 @@
     pub(super) estimate: Duration,
 }
 
-/// How a slot for a new replica can be had.
+/// Source of the slot for a new replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum SlotSource {
-    /// The zone has a unit to spare.
+    /// The zone has an unused quota unit.
     Unit,
-    /// This slot is not in use and can be replaced.
+    /// This slot is unused and can be replaced.
     Replace(Slot),
-    /// There is none.
+    /// No slot is available.
     None,
 }
 
 impl Leading {
-    /// The best runner for one more replica, or why there is none.
+    /// The best runner for one more replica, or the reason why none can take it.
     pub(super) fn choose(
         &mut self,
         artifact: &ArtifactId,
-        wanted: &Wanted,
+        target: &ReplicaTarget,
         context: &Context,
     ) -> Result<Choice, Block> {
         let subject = subject_of(artifact);
@@ -62,7 +62,7 @@
                 failed_before = true;
                 continue;
             }
-            let bytes = context.configuration.bytes(artifact).unwrap_or(0) + wanted.extra_bytes;
+            let bytes = context.configuration.bytes(artifact).unwrap_or(0) + target.extra_bytes;
             could_fit |= self.could_fit(name, bytes);
             let room = self.room(name, bytes, context);
             if room == Room::None {
@@ -73,7 +73,8 @@
             if !recorded && !may_add {
                 continue;
             }
-            let Some(choice) = self.estimated(artifact, name, room, recorded, context) else {
+            let Some(choice) = self.choice_with_estimate(artifact, name, room, recorded, context)
+            else {
                 continue;
             };
             let key = (choice.estimate, rank(artifact, name));
@@ -88,11 +89,11 @@
             return Ok(choice);
         }
         let block = if fits {
-            self.without_slot(artifact, &subject, context)
+            self.block_without_slot(artifact, &subject, context)
         } else if failed_before {
-            Block::Refused(ResultCode::LoadFailed, ASK_AGAIN)
+            Block::Refused(ResultCode::LoadFailed, REFUSAL_RETRY_AFTER)
         } else {
-            self.without_memory(artifact, could_fit, context)
+            self.block_without_memory(artifact, could_fit, context)
         };
         if failed_before && matches!(block, Block::Refused(..)) {
             return Err(self.pause_after_failures(artifact, context));
@@ -112,7 +113,7 @@
         free && has_base && self.takes_loads(name, context.now)
     }
 
-    /// Whether the base of an adapter is on a runner, or on its way there.
+    /// Whether a runner holds or loads the base of an adapter, and is not unloading it.
     pub(super) fn has_base(&self, adapter: &ArtifactId, name: &RunnerName) -> bool {
         let base = slot(&adapter.base(), name);
         let held = self
@@ -124,7 +125,7 @@
         (present || self.loads.contains_key(&base)) && !self.unloads.contains_key(&base)
     }
 
-    fn estimated(
+    fn choice_with_estimate(
         &self,
         artifact: &ArtifactId,
         name: &RunnerName,
@@ -141,10 +142,10 @@
             estimate += self.permit_wait(estimate);
         }
         if !recorded {
-            estimate += SLOT_WRITE;
+            estimate += SLOT_WRITE_TIME;
         }
         if room == Room::AfterUnload {
-            estimate += UNLOAD;
+            estimate += UNLOAD_TIME;
         }
         Some(Choice {
             runner: name.clone(),
@@ -154,23 +155,26 @@
         })
     }
 
-    /// Time until the queue for the weight store is through, if each load takes as long as this.
+    /// Estimated wait for a weight store permit, assuming that each queued load takes this long.
     fn permit_wait(&self, one_load: Duration) -> Duration {
         let permits = self.quotas.units(&QuotaSubject::WeightStore).max(1);
         one_load * (remote_queued(&self.loads) / permits)
     }
 
-    /// How a slot for one more replica can be had.
+    /// The source of the slot for one more replica of an artifact.
     pub(super) fn slot_source(&self, artifact: &ArtifactId, context: &Context) -> SlotSource {
         let subject = subject_of(artifact);
         let queued = self.loads.keys().filter(|slot| {
             subject_of(&slot.artifact) == subject
                 && !self.placement.slots().contains(slot)
-                && !self.placement.wished(slot)
-                && !self.placement.adding(slot)
+                && !self.placement.is_addition_requested(slot)
+                && !self.placement.is_being_added(slot)
         });
         let promised = u32::try_from(queued.count()).unwrap_or(u32::MAX);
-        let taken = self.placement.planned(&subject).saturating_add(promised);
+        let taken = self
+            .placement
+            .planned_slots(&subject)
+            .saturating_add(promised);
         let goal = self.goals.get(&subject).copied().unwrap_or(u32::MAX);
         if taken < self.quotas.claimed_units(&subject).min(goal) {
             return SlotSource::Unit;
@@ -183,7 +187,7 @@
         replaceable.map_or(SlotSource::None, |slot| SlotSource::Replace(slot.clone()))
     }
 
-    /// Whether a recorded slot is certainly empty and not about to be used.
+    /// Whether a recorded slot is certainly empty and has no load pending.
     pub(super) fn is_replaceable(&self, slot: &Slot, context: &Context) -> bool {
         let empty = self.is_empty(slot, context);
         let wanted_there = self.loads.contains_key(slot);
@@ -201,7 +205,7 @@
     }
 }
 
-/// Breaks ties between runners, differently for each artifact.
+/// Tie-breaking hash for equal estimates, different for each artifact.
 pub(super) fn rank(artifact: &ArtifactId, name: &RunnerName) -> u64 {
     xxh3_64(format!("{artifact} {name}").as_bytes())
 }
--- a/crates/control/src/coordinator/demand.rs
+++ b/crates/control/src/coordinator/demand.rs
@@ -1,4 +1,4 @@
-//! What the gateways want, and until when that holds.
+//! The demand that gateways report per artifact, and its expiry.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -8,38 +8,38 @@
 
 use super::interface::CoordinatorSettings;
 
-/// Requests running on each replica above which one more is called for.
+/// Number of running requests per replica above which one more replica is required.
 pub(super) const RUNNING_PER_REPLICA: u32 = 32;
 
-/// What all gateways together want of one artifact.
+/// The combined demand of all gateways for one artifact.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct DemandSummary {
-    /// Requests waiting.
+    /// Number of waiting requests.
     pub(super) waiting: u32,
-    /// Requests running.
+    /// Number of running requests.
     pub(super) running: u32,
-    /// Highest priority among those waiting.
+    /// Highest priority among the waiting requests.
     pub(super) priority: u8,
-    /// Earliest deadline among those waiting.
+    /// Earliest deadline among the waiting requests.
     pub(super) deadline: Timestamp,
-    /// Since when requests have been waiting without a break.
+    /// Start of the current uninterrupted period with waiting requests.
     pub(super) waiting_since: Option<Timestamp>,
-    /// When a gateway last said that requests wait.
-    pub(super) waiting_told: Option<Timestamp>,
+    /// When a gateway last reported waiting requests.
+    pub(super) waiting_reported_at: Option<Timestamp>,
 }
 
-/// What a demand changes.
+/// The effect of a demand report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum DemandChange {
-    /// Nothing that matters now.
+    /// No decision depends on the change.
     None,
-    /// As many more or fewer requests run as call for another number of replicas.
-    Crowd,
-    /// Who wants what, or somebody waits.
-    Wanted,
+    /// The number of running requests now requires another number of replicas.
+    RunningLevel,
+    /// A gateway's demand started or ended, or requests are waiting.
+    Urgent,
 }
 
-/// What one gateway wants of one artifact.
+/// The demand of one gateway for one artifact.
 #[derive(Clone, Debug)]
 struct GatewayDemand {
     demand: Demand,
@@ -49,25 +49,25 @@
 
 #[derive(Clone, Debug, Default)]
 struct ArtifactDemand {
-    /// Requests running, at all gateways.
+    /// Number of running requests, summed over all gateways.
     running: u32,
     gateways: BTreeMap<DaemonName, GatewayDemand>,
     waiting_since: Option<Timestamp>,
 }
 
-/// All demand in force.
+/// All unexpired demand.
 #[derive(Clone, Debug, Default)]
 pub(super) struct DemandTable {
     entries: BTreeMap<ArtifactId, ArtifactDemand>,
-    /// Artifacts that requests wait for.
+    /// Artifacts with waiting requests.
     waiting: BTreeSet<ArtifactId>,
-    /// No demand expires before this.
+    /// Lower bound of the time at which the next demand expires.
     next_expiry: Timestamp,
     last_active: BTreeMap<ArtifactId, Timestamp>,
 }
 
 impl DemandTable {
-    /// Takes in a demand.
+    /// Applies a demand report.
     pub(super) fn put(
         &mut self,
         gateway: DaemonName,
@@ -81,7 +81,7 @@
         }
         if !active {
             return if self.remove(&artifact, &gateway) {
-                DemandChange::Wanted
+                DemandChange::Urgent
             } else {
                 DemandChange::None
             };
@@ -95,10 +95,10 @@
             renewed: now,
         };
         entry.gateways.insert(gateway, renewal);
-        let crowd_before = crowd(entry.running);
+        let level_before = running_level(entry.running);
         entry.count_running();
-        let other_crowd = crowd(entry.running) != crowd_before;
-        entry.note_waiting(now);
+        let is_level_changed = running_level(entry.running) != level_before;
+        entry.update_waiting_since(now);
         let waits = entry.waiting_since.is_some();
         if waits {
             self.waiting.insert(artifact);
@@ -106,9 +106,9 @@
             self.waiting.remove(&artifact);
         }
         if is_new || waits {
-            DemandChange::Wanted
-        } else if other_crowd {
-            DemandChange::Crowd
+            DemandChange::Urgent
+        } else if is_level_changed {
+            DemandChange::RunningLevel
         } else {
             DemandChange::None
         }
@@ -127,36 +127,37 @@
         removed
     }
 
-    /// Forgets a gateway. Returns the artifacts that it wanted.
+    /// Removes all demand of a gateway. Returns the artifacts concerned.
     pub(super) fn forget_gateway(&mut self, gateway: &DaemonName) -> Vec<ArtifactId> {
         self.retain(|name, _, _| name != gateway)
     }
 
-    /// Whether requests run on the artifact, as far as was told.
+    /// Whether requests run on the artifact, according to the last reports.
     pub(super) fn is_running(&self, artifact: &ArtifactId) -> bool {
         let entry = self.entries.get(artifact);
         entry.is_some_and(|entry| entry.running > 0)
     }
 
-    /// Forgets demand that was not renewed. Returns the artifacts that it was about.
+    /// Removes demand that was not renewed in time. Returns the artifacts concerned.
     pub(super) fn expire(
         &mut self,
         now: Timestamp,
         settings: &CoordinatorSettings,
     ) -> Vec<ArtifactId> {
-        self.settle_waiting(now);
+        self.prune_waiting(now);
         if now < self.next_expiry {
             return Vec::new();
         }
-        let lives = |demand: &Demand, at: Timestamp| now.since(at) < lifetime(demand, settings);
-        let expired = self.retain(|_, demand, at| lives(demand, at));
+        let is_current =
+            |demand: &Demand, at: Timestamp| now.since(at) < lifetime(demand, settings);
+        let expired = self.retain(|_, demand, at| is_current(demand, at));
         self.next_expiry = self.earliest_expiry(now, settings);
-        self.settle_waiting(now);
+        self.prune_waiting(now);
         expired
     }
 
-    /// When the first demand expires. What is put from now on expires no earlier than the lifetime
-    /// of waiting demand from now, the shorter one.
+    /// When the next demand expires. Demand reported from now on lasts at least as long as waiting
+    /// demand, whose lifetime is the shorter one.
     fn earliest_expiry(&self, now: Timestamp, settings: &CoordinatorSettings) -> Timestamp {
         let demands = self
             .entries
@@ -166,12 +167,12 @@
         expiries.fold(now + settings.demand_expiry, Timestamp::min)
     }
 
-    /// Notes where nobody waits any more.
-    fn settle_waiting(&mut self, now: Timestamp) {
+    /// Removes the artifacts without waiting requests from the index.
+    fn prune_waiting(&mut self, now: Timestamp) {
         let entries = &mut self.entries;
         self.waiting.retain(|artifact| {
             entries.get_mut(artifact).is_some_and(|entry| {
-                entry.note_waiting(now);
+                entry.update_waiting_since(now);
                 entry.waiting_since.is_some()
             })
         });
@@ -181,59 +182,59 @@
         &mut self,
         keep: impl Fn(&DaemonName, &Demand, Timestamp) -> bool,
     ) -> Vec<ArtifactId> {
-        let mut fewer = Vec::new();
+        let mut reduced = Vec::new();
         for (artifact, entry) in &mut self.entries {
             let before = entry.gateways.len();
             let gateways = &mut entry.gateways;
             gateways.retain(|name, demand| keep(name, &demand.demand, demand.renewed));
             if gateways.len() < before {
                 entry.count_running();
-                fewer.push(artifact.clone());
+                reduced.push(artifact.clone());
             }
         }
         self.entries.retain(|_, entry| !entry.gateways.is_empty());
-        fewer
+        reduced
     }
 
-    /// The artifacts that requests wait for.
+    /// The artifacts with waiting requests.
     pub(super) fn waiting(&self) -> impl Iterator<Item = &ArtifactId> {
         self.waiting.iter()
     }
 
-    /// The artifacts wanted.
+    /// The artifacts with demand.
     pub(super) fn artifacts(&self) -> impl Iterator<Item = &ArtifactId> {
         self.entries.keys()
     }
 
-    /// Whether an artifact is wanted.
+    /// Whether there is demand for an artifact.
     pub(super) fn is_demanded(&self, artifact: &ArtifactId) -> bool {
         self.entries.contains_key(artifact)
     }
 
-    /// Gateways that want an artifact.
+    /// Gateways with demand for an artifact.
     pub(super) fn gateways(&self, artifact: &ArtifactId) -> impl Iterator<Item = &DaemonName> {
         let entry = self.entries.get(artifact);
         entry.into_iter().flat_map(|entry| entry.gateways.keys())
     }
 
-    /// For how long one and the same gateway has renewed its demand for an artifact, or for an
-    /// adapter on it, counted from some time on. A gateway that has found a place elsewhere renews
-    /// nothing, so what is left of its demand grows no older.
-    pub(super) fn persistence(&self, artifact: &ArtifactId, from: Timestamp) -> Duration {
-        // The adapters on a base follow it in the order of the names.
+    /// The maximum time for which a single gateway has renewed its demand for an artifact, or for an
+    /// adapter on it, counted from a given time. A gateway that is served elsewhere stops renewing,
+    /// so the age of its remaining demand does not grow.
+    pub(super) fn max_renewal_age(&self, artifact: &ArtifactId, from: Timestamp) -> Duration {
+        // The adapters of a base directly follow it in key order.
         let following = self.entries.range(artifact.clone()..);
-        let needing = following.take_while(|(other, _)| needs(other, artifact));
-        let demands = needing.flat_map(|(_, entry)| entry.gateways.values());
+        let related = following.take_while(|(other, _)| is_same_or_adapter_on(other, artifact));
+        let demands = related.flat_map(|(_, entry)| entry.gateways.values());
         let durations = demands.map(|demand| demand.renewed.since(demand.since.max(from)));
         durations.max().unwrap_or_default()
     }
 
-    /// When the artifact was last wanted, if ever.
+    /// When there was last activity on the artifact, if ever.
     pub(super) fn last_active(&self, artifact: &ArtifactId) -> Option<Timestamp> {
         self.last_active.get(artifact).copied()
     }
 
-    /// What all gateways together want of an artifact.
+    /// The combined demand of all gateways for an artifact.
     pub(super) fn summary(&self, artifact: &ArtifactId) -> Option<DemandSummary> {
         let entry = self.entries.get(artifact)?;
         let mut summary = DemandSummary {
@@ -242,7 +243,7 @@
             priority: 0,
             deadline: Timestamp(u64::MAX),
             waiting_since: entry.waiting_since,
-            waiting_told: None,
+            waiting_reported_at: None,
         };
         for GatewayDemand {
             demand, renewed, ..
@@ -254,19 +255,19 @@
                 let deadline = *renewed + Duration::from_millis(demand.earliest_deadline_ms);
                 summary.priority = summary.priority.max(demand.priority);
                 summary.deadline = summary.deadline.min(deadline);
-                summary.waiting_told = summary.waiting_told.max(Some(*renewed));
+                summary.waiting_reported_at = summary.waiting_reported_at.max(Some(*renewed));
             }
         }
         Some(summary)
     }
 }
 
-/// Whether an artifact is another one, or an adapter on it.
-fn needs(artifact: &ArtifactId, other: &ArtifactId) -> bool {
+/// Whether an artifact equals another one or is an adapter on it.
+fn is_same_or_adapter_on(artifact: &ArtifactId, other: &ArtifactId) -> bool {
     artifact == other || (artifact.is_adapter() && artifact.base() == *other)
 }
 
-/// How long a demand holds that is not renewed.
+/// How long a demand is valid without renewal.
 fn lifetime(demand: &Demand, settings: &CoordinatorSettings) -> Duration {
     if demand.waiting > 0 {
         settings.demand_expiry
@@ -275,8 +276,9 @@
     }
 }
 
-/// The replicas that so many requests running fill, as far as another number matters.
-fn crowd(running: u32) -> u32 {
+/// Number of replicas whose capacity this many running requests exceed; planning depends only on
+/// changes of this value.
+fn running_level(running: u32) -> u32 {
     running.saturating_sub(1) / RUNNING_PER_REPLICA
 }
 
@@ -286,7 +288,7 @@
         self.running = running.fold(0, u32::saturating_add);
     }
 
-    fn note_waiting(&mut self, now: Timestamp) {
+    fn update_waiting_since(&mut self, now: Timestamp) {
         let mut demands = self.gateways.values();
         if demands.any(|gateway| gateway.demand.waiting > 0) {
             self.waiting_since.get_or_insert(now);
--- a/crates/control/src/coordinator/events.rs
+++ b/crates/control/src/coordinator/events.rs
@@ -11,7 +11,7 @@
 use super::interface::{CoordinatorAction, CoordinatorEvent, StoreFault};
 use super::leading::Leading;
 use super::lease::LeaseChange;
-use super::placement::PlacementChange;
+use super::placement::PlacementOutcome;
 use crate::configuration::Configuration;
 
 impl Coordinator {
@@ -115,7 +115,7 @@
         if change != DemandChange::None {
             self.touch([artifact.clone()]);
         }
-        self.changed |= change == DemandChange::Wanted;
+        self.changed |= change == DemandChange::Urgent;
         Asked {
             gateway,
             artifact,
@@ -149,7 +149,7 @@
         {
             self.stray_quotas.swap_remove(position);
             if let Some(leading) = &mut self.leading {
-                leading.quotas.stray_answered(subject);
+                leading.quotas.earlier_term_write_answered(subject);
             }
             return;
         }
@@ -178,22 +178,22 @@
             }
             CoordinatorEvent::QuotasRead(result) => {
                 leading.quotas.on_read_all(result, now, &settings);
-                PlacementChange::None
+                PlacementOutcome::None
             }
             CoordinatorEvent::QuotaChanged(revision, quota) => {
                 self.changed |= leading.quotas.on_changed(revision, quota);
-                PlacementChange::None
+                PlacementOutcome::None
             }
             CoordinatorEvent::QuotaWritten(subject, result) => {
                 leading.quotas.on_written(&subject, result, now, &settings);
-                PlacementChange::None
+                PlacementOutcome::None
             }
-            _ => PlacementChange::None,
+            _ => PlacementOutcome::None,
         };
         match change {
-            PlacementChange::None => {}
-            PlacementChange::Lost(term) => leading.note_term(term),
-            PlacementChange::Fenced => actions.push(CoordinatorAction::Lead(leading.term)),
+            PlacementOutcome::None => {}
+            PlacementOutcome::Superseded(term) => leading.note_term(term),
+            PlacementOutcome::Fenced => actions.push(CoordinatorAction::Lead(leading.term)),
         }
     }
 
@@ -265,7 +265,7 @@
                     now,
                     generator,
                 );
-                leading.quotas.await_strays(&self.stray_quotas);
+                leading.quotas.await_earlier_term_writes(&self.stray_quotas);
                 if let Some(machines) = &self.machines {
                     leading.apply_machines(machines, now);
                 }
--- a/crates/control/src/coordinator/homes.rs
+++ b/crates/control/src/coordinator/homes.rs
@@ -1,22 +1,22 @@
-//! Gives each configured artifact a home ahead of need: a recorded slot, so that a wake needs no
-//! write and works while the store is down.
+//! Assigns each configured artifact a home before it is needed: a recorded slot, so that a wake
+//! needs no write and works while the store is down.
 
 use flaxward_types::configuration::ModelSpec;
 use flaxward_types::records::{QuotaSubject, Slot};
 use flaxward_types::{ArtifactId, ConfigurationItem, ItemKey, ModelName, RunnerName};
 
 use super::choice::{SlotSource, rank};
-use super::focus::next_slice;
 use super::leading::{Context, Leading, slot};
 use super::placement::subject_of;
+use super::plan_scope::next_slice;
 
-/// Homes added in one write.
-const HOMES_PER_WRITE: usize = 4;
-/// Quota records claimed ahead of need at one time.
-const CLAIMS_AT_ONCE: usize = 4;
+/// Maximum number of homes added in one write.
+const MAX_HOMES_PER_WRITE: usize = 4;
+/// Maximum number of quota records claimed for homes at one time.
+const MAX_PENDING_CLAIMS: usize = 4;
 
 impl Leading {
-    /// Wishes for homes for some artifacts that have none.
+    /// Requests homes for some of the artifacts that have none.
     pub(super) fn find_homes(&mut self, context: &Context) {
         self.homes_wanted.clear();
         let busy = self.loads.values().any(|load| !load.is_ordered());
@@ -30,13 +30,13 @@
         );
         let mut found = 0;
         let mut first = None;
-        for place in slice {
-            if found == HOMES_PER_WRITE || self.homes_wanted.len() == CLAIMS_AT_ONCE {
-                // Wishes and claims may come to nothing, so the next round begins with them.
-                self.cursors.homes = first.unwrap_or(place);
+        for index in slice {
+            if found == MAX_HOMES_PER_WRITE || self.homes_wanted.len() == MAX_PENDING_CLAIMS {
+                // Requested slots and claims may fail, so the next round starts with them.
+                self.cursors.homes = first.unwrap_or(index);
                 return;
             }
-            let artifact = self.configured_artifacts[place].clone();
+            let artifact = self.configured_artifacts[index].clone();
             if self.placement.slots().has(&artifact) {
                 continue;
             }
@@ -44,7 +44,7 @@
             let has_found = self.find_home(&artifact, context);
             found += usize::from(has_found);
             if has_found || self.homes_wanted.len() > claims {
-                first.get_or_insert(place);
+                first.get_or_insert(index);
             }
         }
     }
@@ -60,7 +60,7 @@
         match self.slot_source(artifact, context) {
             SlotSource::Unit => {}
             SlotSource::Replace(old) if is_outdated(&old, context) => {
-                self.placement.wish_removed(&old);
+                self.placement.request_removal(&old);
             }
             SlotSource::Replace(_) | SlotSource::None => {
                 let claimed = self.quotas.claimed_units(&subject);
@@ -71,11 +71,11 @@
                 return false;
             }
         }
-        self.placement.wish_added(slot(artifact, &runner));
+        self.placement.request_addition(slot(artifact, &runner));
         true
     }
 
-    /// Whether the zone has a unit for a home, or may get one with the first split.
+    /// Whether the zone has a unit for a home, or may receive one by the initial split.
     fn may_have_home(
         &self,
         artifact: &ArtifactId,
@@ -84,17 +84,17 @@
     ) -> bool {
         let record = self.quotas.record(subject);
         let has_units = record.is_none() || self.quotas.units(subject) > 0;
-        // A zone that is about to give its units away must not take them up again.
-        let asked = self.quotas.asked_by_others(subject) > 0;
-        if !has_units || asked || context.configuration.bytes(artifact).is_none() {
+        // A zone that is about to release its units to others must not occupy them again.
+        let is_requested = self.quotas.requested_by_others(subject) > 0;
+        if !has_units || is_requested || context.configuration.bytes(artifact).is_none() {
             return false;
         }
         let rule = self.rule(subject, context);
         rule.limit > 0 && rule.zones.contains(context.zone)
     }
 
-    /// The runner for a home: with the base, if it is an adapter; else the one with the least memory
-    /// promised.
+    /// The runner for a home: for an adapter, one with a slot of its base; otherwise the one with the
+    /// least memory assigned to slots.
     fn home_for(&self, artifact: &ArtifactId, context: &Context) -> Option<RunnerName> {
         let bytes = context.configuration.bytes(artifact)?;
         let fit =
@@ -105,7 +105,7 @@
             let homes = homes.filter(|slot| slot.artifact == base);
             return homes.map(|slot| &slot.runner).find(fit).cloned();
         }
-        let promised = |name: &RunnerName| -> u64 {
+        let assigned_bytes = |name: &RunnerName| -> u64 {
             let slots = self.placement.on_runner(name);
             slots
                 .filter_map(|slot| context.configuration.bytes(&slot.artifact))
@@ -113,22 +113,22 @@
         };
         let candidates = self.runners.keys().filter(fit);
         candidates
-            .min_by_key(|name| (promised(name), rank(artifact, name)))
+            .min_by_key(|name| (assigned_bytes(name), rank(artifact, name)))
             .cloned()
     }
 }
 
-/// Whether a slot is the home of a version that requests no longer name by default.
+/// Whether a slot is the home of a version that is no longer the default for requests.
 fn is_outdated(old: &Slot, context: &Context) -> bool {
     let model = context.configuration.model(&old.artifact.model);
     model.is_none_or(|model| model.serving != old.artifact.version)
 }
 
-/// The artifacts that requests name by default, models first and each kind in order.
+/// The artifacts that requests use by default: models first, then adapters, each sorted.
 pub(super) fn configured(context: &Context) -> Vec<ArtifactId> {
     let configuration = context.configuration;
     let mut artifacts = Vec::new();
-    // The adapters of a model follow each other.
+    // The adapters of a model are adjacent.
     let mut last: Option<(&ModelName, Option<&ModelSpec>)> = None;
     for (key, _, item) in configuration.items() {
         let (model, adapter) = match (key, item) {
@@ -152,6 +152,6 @@
             adapter,
         });
     }
-    // Keys of models come before those of adapters.
+    // Model keys sort before adapter keys.
     artifacts
 }
--- a/crates/control/src/coordinator/leading.rs
+++ b/crates/control/src/coordinator/leading.rs
@@ -13,17 +13,17 @@
 
 use super::answers::Answers;
 use super::demand::DemandTable;
-use super::focus::Cursors;
 use super::holdings::Holdings;
 use super::interface::{
     CoordinatorAction, CoordinatorSettings, Decision, DecisionKind, EngineFault,
 };
 use super::loads::{Failures, Load, Loads, RateLimit, Speeds};
-use super::placement::PlacementKeeper;
-use super::quota::QuotaBook;
+use super::placement::PlacementManager;
+use super::plan_scope::Cursors;
+use super::quota::QuotaTable;
+pub(super) use super::requirements::ReplicaTarget;
+use super::requirements::RequirementTable;
 use super::runner::{Observation, Phase, Runner};
-use super::wants::WantTable;
-pub(super) use super::wants::Wanted;
 use super::weakness::Weakness;
 use crate::configuration::Configuration;
 use crate::keep_alive::KeepAlive;
@@ -78,8 +78,8 @@
 pub(super) struct Leading {
     pub(super) term: Term,
     pub(super) since: Timestamp,
-    pub(super) placement: PlacementKeeper,
-    pub(super) quotas: QuotaBook,
+    pub(super) placement: PlacementManager,
+    pub(super) quotas: QuotaTable,
     pub(super) runners: BTreeMap<RunnerName, Runner>,
     /// Machines that are gone and still have slots.
     pub(super) gone: BTreeSet<RunnerName>,
@@ -88,7 +88,7 @@
     pub(super) failures: Failures,
     pub(super) speeds: Speeds,
     pub(super) rate: RateLimit,
-    pub(super) wanted: WantTable,
+    pub(super) wanted: RequirementTable,
     /// Artifacts that events have touched since the last plan.
     pub(super) touched: BTreeSet<ArtifactId>,
     /// Where the slices of everything have got to.
@@ -145,8 +145,8 @@
         Self {
             term,
             since: now,
-            placement: PlacementKeeper::new(term, weakness),
-            quotas: QuotaBook::new(term, zone.clone(), weakness),
+            placement: PlacementManager::new(term, weakness),
+            quotas: QuotaTable::new(term, zone.clone(), weakness),
             runners: BTreeMap::new(),
             gone: BTreeSet::new(),
             loads: Loads::new(),
@@ -154,7 +154,7 @@
             failures: Failures::default(),
             speeds: Speeds::new(settings),
             rate: RateLimit::default(),
-            wanted: WantTable::default(),
+            wanted: RequirementTable::default(),
             touched: BTreeSet::new(),
             cursors: Cursors::default(),
             configured_artifacts: Vec::new(),
@@ -264,7 +264,7 @@
             return;
         };
         let placement = &mut self.placement;
-        let next_operation = || placement.want_confirmation();
+        let next_operation = || placement.request_confirmation();
         let observation = runner.observe(inventory, self.term, now, next_operation);
         match observation {
             Observation::Stale => {}
@@ -348,7 +348,7 @@
 
     /// The term of a later coordinator, if one has been noticed.
     pub(super) fn overtaken_by(&self) -> Option<Term> {
-        let highest = self.highest.max(self.quotas.highest());
+        let highest = self.highest.max(self.quotas.highest_term());
         (highest > self.term).then_some(highest)
     }
 
--- a/crates/control/src/coordinator/ledger.rs
+++ b/crates/control/src/coordinator/ledger.rs
@@ -102,7 +102,9 @@
     }
 
     fn is_firm(&self, artifact: &ArtifactId) -> bool {
-        self.wanted.get(artifact).is_some_and(|wanted| wanted.firm)
+        self.wanted
+            .get(artifact)
+            .is_some_and(|wanted| wanted.required)
     }
 
     /// Whether a base carries an adapter that somebody wants on the same runner.
--- a/crates/control/src/coordinator/mod.rs
+++ b/crates/control/src/coordinator/mod.rs
@@ -21,7 +21,6 @@
 mod consistency;
 mod demand;
 mod events;
-mod focus;
 mod holdings;
 mod homes;
 mod interface;
@@ -34,10 +33,12 @@
 mod needs;
 mod orders;
 mod placement;
+mod plan_scope;
 mod planner;
 mod progress;
 mod quota;
 mod quota_draft;
+mod requirements;
 mod rounds;
 mod rules;
 mod runner;
@@ -47,14 +48,13 @@
 mod units;
 mod unneeded;
 mod views;
-mod wants;
 mod weakness;
 
 pub use interface::{
     CoordinatorAction, CoordinatorEvent, CoordinatorSettings, Decision, DecisionKind, EngineFault,
     StoreFault, UnloadReason,
 };
-pub use sample::{SAMPLE, sample};
+pub use sample::{SAMPLE_SIZE, sample};
 pub use units::split_units;
 pub use views::{ReplicaView, RunnerView, WaitingView};
 pub use weakness::Weakness;
--- a/crates/control/src/coordinator/needs.rs
+++ b/crates/control/src/coordinator/needs.rs
@@ -1,4 +1,4 @@
-//! What the zone needs of each quota, and the operations that follow.
+//! The units that the zone needs of each quota, and the resulting quota operations.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -6,23 +6,24 @@
 use flaxward_types::records::{QuotaSubject, Slot};
 use flaxward_types::{ArtifactId, ResultCode, Timestamp};
 
-use super::leading::{Block, Context, Leading, Wanted};
+use super::leading::{Block, Context, Leading, ReplicaTarget};
 use super::loads::{remote_in_progress, remote_queued};
 use super::quota_draft::QuotaNeed;
 
-/// Gateways that are sent on and keep asking for this long make the zone ask other zones for units.
-/// Most find a replica or a load where they were sent to and are not heard of again.
-const ASK_AFTER: Duration = Duration::from_secs(2);
-/// A replica that was used keeps its unit for this many times the life of a demand, so that a zone
-/// whose callers have found the replica can withdraw what it has asked for.
-const KEPT_DEMAND_LIVES: u32 = 2;
+/// The zone requests units from other zones once a redirected gateway has kept renewing its demand
+/// for this long. Most gateways find a replica or a load in the zone that they are redirected to and
+/// renew nothing here.
+const REQUEST_UNITS_AFTER: Duration = Duration::from_secs(2);
+/// A used replica keeps its unit for this many times the demand expiry, so that a zone whose
+/// callers have found the replica can withdraw its request for units.
+const RETENTION_DEMAND_EXPIRIES: u32 = 2;
 
 impl Leading {
-    /// Reads and writes quotas as needed.
+    /// Starts the quota reads and writes that are due.
     pub(super) fn step_quotas(&mut self, subjects: &BTreeSet<QuotaSubject>, context: &Context) {
-        let wanted = &self.wanted;
+        let targets = &self.wanted;
         self.sent_on
-            .retain(|artifact, _| wanted.contains_key(artifact));
+            .retain(|artifact, _| targets.contains_key(artifact));
         let reading = self.quotas.read_all(context.now);
         self.actions.extend(reading);
         if !context.may_record {
@@ -39,90 +40,96 @@
         }
     }
 
-    /// What the zone needs of a subject.
+    /// The units that the zone needs of a subject.
     pub(super) fn need(&self, subject: &QuotaSubject, context: &Context) -> QuotaNeed {
         if *subject == QuotaSubject::WeightStore {
             return self.weight_store_need(context);
         }
         let mut need = QuotaNeed {
-            bound: self.placement.bound(subject),
-            claims: self.homes_wanted.contains(subject),
+            committed: self.placement.max_slots(subject),
+            requires_claim: self.homes_wanted.contains(subject),
             ..QuotaNeed::default()
         };
-        if !self.is_of_use(subject) {
+        if !self.can_use_units(subject) {
             return need;
         }
-        for (artifact, wanted) in self.wanted.of_subject(subject) {
+        for (artifact, target) in self.wanted.of_subject(subject) {
             let block = self.blocks.get(artifact);
-            need.kept += self.kept_for(artifact, wanted, context);
-            let hopeless = matches!(
+            need.retained += self.units_retained_for(artifact, target, context);
+            let cannot_load = matches!(
                 block,
                 Some(Block::Refused(
                     ResultCode::NoMemory | ResultCode::LoadFailed,
                     _
                 ))
             );
-            if hopeless {
+            if cannot_load {
                 continue;
             }
-            need.needed += wanted.replicas;
-            // Gateways cannot find an adapter elsewhere when its base is here.
-            let base_is_here =
+            need.needed += target.replicas;
+            // Gateways are not redirected for an adapter whose base is loaded in this zone.
+            let has_local_base =
                 artifact.is_adapter() && self.live_replicas(&artifact.base(), context.now) > 0;
-            need.asks |= base_is_here || self.asking_age(artifact, context) >= ASK_AFTER;
+            need.requests_units |= has_local_base
+                || self.redirected_demand_age(artifact, context) >= REQUEST_UNITS_AFTER;
             let unrecorded = self
                 .loads
                 .keys()
                 .any(|slot| slot.artifact == *artifact && !self.placement.usable(slot));
-            need.claims |= block.is_some() || unrecorded;
+            need.requires_claim |= block.is_some() || unrecorded;
         }
-        if self.quotas.asked_by_others(subject) > 0 {
-            need.kept += self.recently_used(subject, context);
+        if self.quotas.requested_by_others(subject) > 0 {
+            need.retained += self.recently_used(subject, context);
         }
         if need.needed > 0 {
             let locked = self.locked_slots(subject, context.now);
             need.needed += locked;
-            need.kept += locked;
+            need.retained += locked;
         }
         need
     }
 
-    /// Units that the zone keeps for what is wanted of an artifact. Callers who are refused or sent
-    /// on keep none but those in use: what the zone cannot serve must not be held back from one
-    /// that can.
-    fn kept_for(&self, artifact: &ArtifactId, wanted: &Wanted, context: &Context) -> u32 {
+    /// Units that the zone retains for the required replicas of an artifact. If its callers are
+    /// refused or redirected, only units in use are retained: a zone that cannot serve must not
+    /// withhold units from one that can.
+    fn units_retained_for(
+        &self,
+        artifact: &ArtifactId,
+        target: &ReplicaTarget,
+        context: &Context,
+    ) -> u32 {
         match self.blocks.get(artifact) {
-            None | Some(Block::Waiting) => wanted.replicas,
+            None | Some(Block::Waiting) => target.replicas,
             Some(Block::Refused(..) | Block::Elsewhere(_)) => {
                 self.live_replicas(artifact, context.now)
             }
         }
     }
 
-    /// Replicas that are not wanted now but were used a moment ago. Callers of a zone that asks for a
-    /// unit are better served by these than by a load over there.
+    /// Number of loaded replicas that are not required now but were used recently. The callers of a
+    /// zone that requests a unit are served sooner by these than by a load in their own zone.
     fn recently_used(&self, subject: &QuotaSubject, context: &Context) -> u32 {
-        let grace = context.settings.demand_expiry * KEPT_DEMAND_LIVES;
+        let retention = context.settings.demand_expiry * RETENTION_DEMAND_EXPIRIES;
         let is_recent = |key: &&Slot| {
             !self.wanted.contains_key(&key.artifact)
                 && self.is_loaded(key, context.now)
-                && context.now.since(self.last_use(key, context)) < grace
+                && context.now.since(self.last_use(key, context)) < retention
         };
         let slots = self.placement.slots().of_subject(subject);
         let count = slots.filter(is_recent).count();
         u32::try_from(count).unwrap_or(u32::MAX)
     }
 
-    /// Whether an artifact is held in its slot, or on its way there, and takes requests.
+    /// Whether the artifact of a slot is held or being loaded there, on a runner that serves.
     fn is_loaded(&self, key: &Slot, now: Timestamp) -> bool {
-        let mut staying = self.staying(&key.artifact, now);
-        staying.any(|(name, _)| *name == key.runner) || self.live_load(key, now).is_some()
+        let mut retaining_runners = self.retaining_runners(&key.artifact, now);
+        retaining_runners.any(|(name, _)| *name == key.runner) || self.live_load(key, now).is_some()
     }
 
-    /// Whether the zone can do anything with units of a subject. Those of an adapter are of use only
-    /// where its base may be loaded: elsewhere callers are sent on, and their demand must not hold
-    /// the units back from the zone that they are sent to.
-    fn is_of_use(&self, subject: &QuotaSubject) -> bool {
+    /// Whether the zone can use units of a subject. Units of an adapter are usable only where its base
+    /// may be loaded: other zones redirect the callers, and their demand must not withhold the units
+    /// from the zone that the callers are redirected to.
+    fn can_use_units(&self, subject: &QuotaSubject) -> bool {
         match subject {
             QuotaSubject::Adapter(model, _) => {
                 let base = QuotaSubject::Model(model.clone());
@@ -133,17 +140,17 @@
     }
 
     fn weight_store_need(&self, context: &Context) -> QuotaNeed {
-        // Each zone keeps a permit for a wake in an outage, if there are enough for all.
+        // Each zone retains one permit for a wake during an outage, if there are enough for all zones.
         let zones = u32::try_from(context.zones.len()).unwrap_or(u32::MAX);
-        let plenty = self.policy.weight_store_parallel >= zones;
+        let has_one_per_zone = self.policy.weight_store_parallel >= zones;
         let used = remote_in_progress(&self.loads);
         let queued = remote_queued(&self.loads);
         QuotaNeed {
             needed: used + queued,
-            kept: (used + queued).max(u32::from(plenty)),
-            bound: used,
-            asks: queued > 0,
-            claims: queued > 0,
+            retained: (used + queued).max(u32::from(has_one_per_zone)),
+            committed: used,
+            requests_units: queued > 0,
+            requires_claim: queued > 0,
         }
     }
 }
--- a/crates/control/src/coordinator/placement.rs
+++ b/crates/control/src/coordinator/placement.rs
@@ -1,8 +1,8 @@
-//! Keeps the zone's slots in the object API.
+//! Maintains the zone's placement record (its slots) in the object API.
 //!
-//! Wishes are stated anew at each plan and written together. A slot may be used only while it is
-//! certainly recorded: after a write with unknown outcome only slots that are in both possible
-//! records, until a later write or read has settled it.
+//! Each plan requests its changes from scratch, and they are written together. A slot may be used
+//! only while it is certainly recorded: after a write with an unknown outcome, only slots that are
+//! in both possible records are usable, until a later write or read resolves the outcome.
 
 use std::collections::BTreeSet;
 
@@ -14,15 +14,15 @@
 use super::slots::{SlotChange, SlotTable};
 use super::weakness::Weakness;
 
-/// What an answer of the store means for the coordinator.
+/// What a response of the store means for the coordinator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum PlacementChange {
-    /// Nothing to act on.
+pub(super) enum PlacementOutcome {
+    /// No action is required.
     None,
-    /// The own term stands in the record from now on.
+    /// The record now carries this coordinator's term.
     Fenced,
-    /// This higher term stands in the record.
-    Lost(Term),
+    /// The record carries this higher term.
+    Superseded(Term),
 }
 
 #[derive(Clone, Debug)]
@@ -31,29 +31,29 @@
     Write(SlotChange),
 }
 
-/// The slots of the zone and the changes wished for.
+/// The recorded slots of the zone and the requested changes.
 #[derive(Clone, Debug)]
-pub(super) struct PlacementKeeper {
+pub(super) struct PlacementManager {
     term: Term,
     weakness: Weakness,
     revision: Option<Revision>,
     slots: SlotTable,
-    known: bool,
+    is_record_known: bool,
     fenced: bool,
     additions: BTreeSet<Slot>,
     removals: BTreeSet<Slot>,
     operation: Option<Operation>,
-    /// Changes by writes whose outcome is unknown, and the revision each would replace. The slots
-    /// known are those of that revision.
+    /// Changes by writes whose outcome is unknown, each with the revision that it would replace.
+    /// `slots` holds the slots of that revision.
     unsettled: Vec<(Option<Revision>, SlotChange)>,
-    /// Number of operations begun.
-    begun: u64,
-    /// The last operation that showed the own term in the record.
-    confirmed: u64,
-    /// The operation that is to show the own term.
-    confirmation_wanted: u64,
+    /// Number of operations started.
+    operations_started: u64,
+    /// The last operation that showed this coordinator's term in the record.
+    last_confirmed: u64,
+    /// The operation that must show this coordinator's term.
+    confirmation_requested: u64,
     next_step: Timestamp,
-    /// Subjects of slots added or removed since they were last looked at.
+    /// Subjects of slots added or removed since the last call of `take_changed`.
     changed: BTreeSet<QuotaSubject>,
 }
 
@@ -61,35 +61,35 @@
     u32::try_from(slots.into_iter().count()).unwrap_or(u32::MAX)
 }
 
-impl PlacementKeeper {
+impl PlacementManager {
     pub(super) fn new(term: Term, weakness: Weakness) -> Self {
         Self {
             term,
             weakness,
             revision: None,
             slots: SlotTable::default(),
-            known: false,
+            is_record_known: false,
             fenced: false,
             additions: BTreeSet::new(),
             removals: BTreeSet::new(),
             operation: None,
             unsettled: Vec::new(),
-            begun: 0,
-            confirmed: 0,
-            confirmation_wanted: 0,
+            operations_started: 0,
+            last_confirmed: 0,
+            confirmation_requested: 0,
             next_step: Timestamp::ZERO,
             changed: BTreeSet::new(),
         }
     }
 
-    /// Whether the own term stands in the record, so that a former holder can record nothing.
+    /// Whether the record carries this coordinator's term, so that a former leader cannot write it.
     pub(super) fn fenced(&self) -> bool {
         self.fenced
     }
 
-    /// Whether the record is known, and so the outcome of each write.
+    /// Whether the record, and with it the outcome of each write, is known.
     pub(super) fn is_settled(&self) -> bool {
-        self.known && self.unsettled.is_empty()
+        self.is_record_known && self.unsettled.is_empty()
     }
 
     /// Whether an operation is outstanding.
@@ -97,12 +97,12 @@
         self.operation.is_some()
     }
 
-    /// The slots recorded as last known.
+    /// The slots of the last known record.
     pub(super) fn slots(&self) -> &SlotTable {
         &self.slots
     }
 
-    /// Whether the slot is certainly recorded and will stay so.
+    /// Whether the slot is certainly recorded and no write or request removes it.
     pub(super) fn usable(&self, slot: &Slot) -> bool {
         if !self.slots.contains(slot) {
             return false;
@@ -113,51 +113,52 @@
         };
         let mut attempts = self.unsettled.iter();
         let settled = attempts.all(|(_, attempted)| !attempted.removed.contains(slot));
-        let wanted = !self.removals.contains(slot);
-        self.fenced && stays && settled && wanted
+        let is_retained = !self.removals.contains(slot);
+        self.fenced && stays && settled && is_retained
     }
 
     /// Whether a write that adds the slot is outstanding.
-    pub(super) fn adding(&self, slot: &Slot) -> bool {
+    pub(super) fn is_being_added(&self, slot: &Slot) -> bool {
         match &self.operation {
             Some(Operation::Write(written)) => written.added.contains(slot),
             _ => false,
         }
     }
 
-    /// Slots of a subject in the record that the wishes amount to.
-    pub(super) fn planned(&self, subject: &QuotaSubject) -> u32 {
+    /// Number of slots of a subject once the outstanding write and the requested changes are applied.
+    pub(super) fn planned_slots(&self, subject: &QuotaSubject) -> u32 {
         let none = SlotChange::default();
-        let base = self.writing().unwrap_or(&none);
+        let base = self.outstanding_change().unwrap_or(&none);
         let kept = base
-            .leaves_of_subject(&self.slots, subject)
+            .of_subject_after(&self.slots, subject)
             .filter(|slot| !self.removals.contains(slot));
         let added = self.additions.iter().filter(|slot| {
-            subject_of(&slot.artifact) == *subject && !base.leaves(&self.slots, slot)
+            subject_of(&slot.artifact) == *subject && !base.contains_after(&self.slots, slot)
         });
         count(kept.chain(added))
     }
 
-    /// The change that is being written.
-    fn writing(&self) -> Option<&SlotChange> {
+    /// The change of the outstanding write.
+    fn outstanding_change(&self) -> Option<&SlotChange> {
         match &self.operation {
             Some(Operation::Write(written)) => Some(written),
             _ => None,
         }
     }
 
-    /// Slots of a subject in any record that may stand or come to stand.
-    pub(super) fn bound(&self, subject: &QuotaSubject) -> u32 {
+    /// Maximum number of slots of a subject over all records that may be in force now or after the
+    /// requested changes.
+    pub(super) fn max_slots(&self, subject: &QuotaSubject) -> u32 {
         let unsettled = self.unsettled.iter().map(|(_, change)| change);
-        let possible = unsettled.chain(self.writing());
+        let possible = unsettled.chain(self.outstanding_change());
         possible
-            .map(|change| count(change.leaves_of_subject(&self.slots, subject)))
+            .map(|change| count(change.of_subject_after(&self.slots, subject)))
             .fold(count(self.slots.of_subject(subject)), u32::max)
-            .max(self.planned(subject))
+            .max(self.planned_slots(subject))
     }
 
-    /// What the wishes change while no write is outstanding.
-    fn wishes(&self) -> SlotChange {
+    /// The requested changes to the last known record, while no write is outstanding.
+    fn requested_change(&self) -> SlotChange {
         let added = self.additions.iter();
         let added = added.filter(|slot| !self.slots.contains(slot));
         let removed = self.removals.iter();
@@ -169,37 +170,37 @@
         }
     }
 
-    /// Forgets all wishes; each plan states them anew.
-    pub(super) fn clear_wishes(&mut self) {
+    /// Clears all requested changes; each plan requests them again.
+    pub(super) fn clear_requested_changes(&mut self) {
         self.additions.clear();
         self.removals.clear();
     }
 
-    pub(super) fn wish_added(&mut self, slot: Slot) {
+    pub(super) fn request_addition(&mut self, slot: Slot) {
         self.removals.remove(&slot);
         self.additions.insert(slot);
     }
 
-    pub(super) fn wish_removed(&mut self, slot: &Slot) {
+    pub(super) fn request_removal(&mut self, slot: &Slot) {
         if !self.additions.contains(slot) {
             self.removals.insert(slot.clone());
         }
     }
 
-    pub(super) fn wished(&self, slot: &Slot) -> bool {
+    pub(super) fn is_addition_requested(&self, slot: &Slot) -> bool {
         self.additions.contains(slot)
     }
 
-    /// Number of the next operation: once it is [confirmed](Self::is_confirmed), the own term stood
-    /// in the record at some moment after this call.
-    pub(super) fn want_confirmation(&mut self) -> u64 {
-        let next = self.begun + 1;
-        self.confirmation_wanted = self.confirmation_wanted.max(next);
+    /// Number of the next operation: once it is [confirmed](Self::is_confirmed), the record carried
+    /// this coordinator's term at some time after this call.
+    pub(super) fn request_confirmation(&mut self) -> u64 {
+        let next = self.operations_started + 1;
+        self.confirmation_requested = self.confirmation_requested.max(next);
         next
     }
 
     pub(super) fn is_confirmed(&self, operation: u64) -> bool {
-        self.confirmed >= operation
+        self.last_confirmed >= operation
     }
 
     /// The next operation on the record, if one is due.
@@ -207,28 +208,28 @@
         if self.operation.is_some() || now < self.next_step {
             return None;
         }
-        if !self.known {
+        if !self.is_record_known {
             return Some(self.read());
         }
-        let change = self.wishes();
+        let change = self.requested_change();
         let due = !self.fenced || !self.unsettled.is_empty() || !change.is_empty();
         if due && may_record {
-            self.begun += 1;
+            self.operations_started += 1;
             let record = ZonePlacement {
                 term: self.term,
-                slots: self.slots.changed_by(&change),
+                slots: self.slots.after_change(&change),
             };
             self.operation = Some(Operation::Write(change));
             return Some(CoordinatorAction::WritePlacement(self.revision, record));
         }
-        if self.confirmation_wanted > self.confirmed {
+        if self.confirmation_requested > self.last_confirmed {
             return Some(self.read());
         }
         None
     }
 
     fn read(&mut self) -> CoordinatorAction {
-        self.begun += 1;
+        self.operations_started += 1;
         self.operation = Some(Operation::Read);
         CoordinatorAction::ReadPlacement
     }
@@ -238,34 +239,34 @@
         result: Result<Option<(Revision, ZonePlacement)>, StoreFault>,
         now: Timestamp,
         settings: &CoordinatorSettings,
-    ) -> PlacementChange {
+    ) -> PlacementOutcome {
         if !matches!(self.operation, Some(Operation::Read)) {
-            return PlacementChange::None;
+            return PlacementOutcome::None;
         }
         self.operation = None;
         let Ok(record) = result else {
             self.next_step = now + settings.order_retry;
-            return PlacementChange::None;
+            return PlacementOutcome::None;
         };
-        self.known = true;
+        self.is_record_known = true;
         let Some((revision, placement)) = record else {
             self.revision = None;
-            return PlacementChange::None;
+            return PlacementOutcome::None;
         };
         if placement.term > self.term {
-            return PlacementChange::Lost(placement.term);
+            return PlacementOutcome::Superseded(placement.term);
         }
         self.unsettled.retain(|(base, _)| *base == Some(revision));
-        self.take_in(revision, placement.slots);
+        self.apply_slots(revision, placement.slots);
         if placement.term == self.term {
-            self.confirmed = self.begun;
+            self.last_confirmed = self.operations_started;
             return self.fence();
         }
-        PlacementChange::None
+        PlacementOutcome::None
     }
 
-    /// Takes in the slots at a revision; those of the revision known are known.
-    fn take_in(&mut self, revision: Revision, slots: Vec<Slot>) {
+    /// Applies the slots read at a revision, unless that revision is already known.
+    fn apply_slots(&mut self, revision: Revision, slots: Vec<Slot>) {
         if self.revision == Some(revision) {
             return;
         }
@@ -276,7 +277,7 @@
         self.slots = slots;
     }
 
-    /// The subjects of slots added or removed since the last call.
+    /// Returns and clears the subjects of slots added or removed since the last call.
     pub(super) fn take_changed(&mut self) -> BTreeSet<QuotaSubject> {
         std::mem::take(&mut self.changed)
     }
@@ -286,12 +287,12 @@
         result: Result<Revision, StoreFault>,
         now: Timestamp,
         settings: &CoordinatorSettings,
-    ) -> PlacementChange {
+    ) -> PlacementOutcome {
         let written = match self.operation.take() {
             Some(Operation::Write(written)) => written,
             other => {
                 self.operation = other;
-                return PlacementChange::None;
+                return PlacementOutcome::None;
             }
         };
         match result {
@@ -300,30 +301,30 @@
                 self.changed.extend(written.subjects());
                 self.slots.apply(written);
                 self.unsettled.clear();
-                self.confirmed = self.begun;
+                self.last_confirmed = self.operations_started;
                 return self.fence();
             }
             Err(StoreFault::Unavailable) => self.next_step = now + settings.order_retry,
-            Err(StoreFault::Conflict) => self.known = false,
+            Err(StoreFault::Conflict) => self.is_record_known = false,
             Err(StoreFault::Unknown) => {
-                self.known = false;
+                self.is_record_known = false;
                 if self.weakness != Weakness::UnknownIsFailed {
                     self.unsettled.push((self.revision, written));
                 }
             }
         }
-        PlacementChange::None
+        PlacementOutcome::None
     }
 
-    fn fence(&mut self) -> PlacementChange {
+    fn fence(&mut self) -> PlacementOutcome {
         if self.fenced {
-            return PlacementChange::None;
+            return PlacementOutcome::None;
         }
         self.fenced = true;
-        PlacementChange::Fenced
+        PlacementOutcome::Fenced
     }
 
-    /// Slots on one runner.
+    /// The recorded slots on one runner.
     pub(super) fn on_runner(&self, runner: &RunnerName) -> impl Iterator<Item = &Slot> {
         self.slots.on_runner(runner)
     }
--- a/crates/control/src/coordinator/focus.rs
+++ b/crates/control/src/coordinator/plan_scope.rs
@@ -1,7 +1,7 @@
-//! What a plan looks at: what events have touched, what is in progress, and a slice of the rest.
+//! The scope of a plan: what events have touched, what is in progress, and a slice of the rest.
 //!
-//! Slices go round everything in a fixed time, so that what no event tells, such as a rule that
-//! time alone fulfils, is noticed as well. Small zones fit into one slice.
+//! Slices cycle through all entries in a bounded time, so that conditions without an event, such as
+//! a rule that becomes true only as time passes, are noticed as well. Small zones fit into one slice.
 
 use std::collections::BTreeSet;
 use std::ops::Range;
@@ -13,20 +13,20 @@
 use super::runner::Use;
 use super::slots::subject_of;
 
-/// Whole slices in which all artifacts that are wanted or held are looked at once. Plans between
-/// them, which an event calls for, take only the least slice.
-const SLICES: usize = 16;
-/// Least slices that a round of housekeeping takes.
-const LEAST_SLICES_PER_ROUND: usize = 16;
-/// Quotas that have changed and are looked at in one plan; the others follow in the next.
-const QUOTAS_PER_PLAN: usize = 512;
-/// Rounds of housekeeping in which everything is looked at once.
-const ROUNDS: usize = 16;
-/// Rounds in which every quota is looked at once. Events tell of all that is known to matter to a
-/// quota, so that this is only to make good what no event told.
-const QUOTA_ROUNDS: usize = 128;
-
-/// Where the last slices of everything ended.
+/// Number of full slices that cover all required or held artifacts once. Plans that an event
+/// triggers between two full slices take only the minimum slice.
+const SLICES_PER_PASS: usize = 16;
+/// Minimum size of a housekeeping round, in minimum slices.
+const MIN_SLICES_PER_ROUND: usize = 16;
+/// Maximum number of changed quotas that one plan checks; the others are left to the next plan.
+const MAX_QUOTAS_PER_PLAN: usize = 512;
+/// Number of housekeeping rounds that cover all entries once.
+const ROUNDS_PER_PASS: usize = 16;
+/// Number of housekeeping rounds that cover all quotas once. Events report every known change that
+/// affects a quota, so this pass only catches what no event has reported.
+const QUOTA_ROUNDS_PER_PASS: usize = 128;
+
+/// Positions at which the last slices ended.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Cursors {
     pub(super) wanted: Option<ArtifactId>,
@@ -37,50 +37,50 @@
     pub(super) homes: usize,
 }
 
-/// Things to look at in a round of housekeeping, so that all are in so many of them.
+/// Number of entries to check in one housekeeping round so that `rounds` rounds cover all of them.
 fn round_size(all: usize, rounds: usize, context: &Context) -> usize {
-    let least = context.settings.least_slice * LEAST_SLICES_PER_ROUND;
-    all.div_ceil(rounds).max(least)
+    let min = context.settings.least_slice * MIN_SLICES_PER_ROUND;
+    all.div_ceil(rounds).max(min)
 }
 
-/// The next things to look at among all in a round of housekeeping, from a cursor on, which goes on
-/// behind them.
+/// The index range to check in this housekeeping round. It starts at the cursor, which is moved to
+/// its end.
 pub(super) fn next_slice(cursor: &mut usize, all: usize, context: &Context) -> Range<usize> {
     let start = if *cursor < all { *cursor } else { 0 };
-    let end = (start + round_size(all, ROUNDS, context)).min(all);
+    let end = (start + round_size(all, ROUNDS_PER_PASS, context)).min(all);
     *cursor = end;
     start..end
 }
 
 impl Leading {
-    /// The artifacts that the plan looks at.
-    pub(super) fn take_focus(&mut self, context: &Context) -> BTreeSet<ArtifactId> {
+    /// Takes the artifacts that the plan covers.
+    pub(super) fn take_scope(&mut self, context: &Context) -> BTreeSet<ArtifactId> {
         self.touch_by_runners(context);
-        let mut focus = std::mem::take(&mut self.touched);
-        focus.extend(context.demands.waiting().cloned());
-        focus.extend(self.blocks.keys().cloned());
+        let mut scope = std::mem::take(&mut self.touched);
+        scope.extend(context.demands.waiting().cloned());
+        scope.extend(self.blocks.keys().cloned());
         let ordered = self.loads.keys().chain(self.unloads.keys());
-        focus.extend(ordered.map(|slot| slot.artifact.clone()));
-        let bases: Vec<ArtifactId> = focus
+        scope.extend(ordered.map(|slot| slot.artifact.clone()));
+        let bases: Vec<ArtifactId> = scope
             .iter()
             .filter(|artifact| artifact.is_adapter())
             .map(ArtifactId::base)
             .collect();
-        focus.extend(bases);
-        focus
+        scope.extend(bases);
+        scope
     }
 
-    /// Things to look at in this plan, besides those touched.
+    /// Number of entries to check in this plan, besides those touched.
     fn plan_size(&self, all: usize, context: &Context) -> usize {
         let slices = if self.whole_slices {
-            SLICES
+            SLICES_PER_PASS
         } else {
             usize::MAX
         };
         all.div_ceil(slices).max(context.settings.least_slice)
     }
 
-    /// Artifacts whose wants are worked out anew although nothing has touched them.
+    /// Artifacts whose requirements are recomputed although no event has touched them.
     pub(super) fn wanted_slice(&mut self, context: &Context) -> Vec<ArtifactId> {
         let size = self.plan_size(self.wanted.len(), context);
         let following = self.wanted.following(self.cursors.wanted.as_ref());
@@ -89,7 +89,7 @@
         slice
     }
 
-    /// Artifacts whose replicas are looked at for whether they are still needed.
+    /// Artifacts whose replicas are checked for whether they are still needed.
     pub(super) fn held_slice(&mut self, context: &Context) -> Vec<ArtifactId> {
         let size = self.plan_size(self.holdings.len(), context);
         let following = self.holdings.following(self.cursors.held.as_ref());
@@ -98,15 +98,15 @@
         slice
     }
 
-    /// Touches what is on runners that have begun or ceased to serve or to take loads.
+    /// Touches the artifacts on runners that have started or stopped serving or taking loads.
     fn touch_by_runners(&mut self, context: &Context) {
         for (name, runner) in &mut self.runners {
             let serves = runner.serves(context.now) && !self.drained.contains(name);
-            let use_now = Use {
+            let current_use = Use {
                 serves,
                 takes_loads: serves && runner.sealed_boot().is_some(),
             };
-            if std::mem::replace(&mut runner.last_use, use_now) == use_now {
+            if std::mem::replace(&mut runner.last_use, current_use) == current_use {
                 continue;
             }
             let slots = self.placement.slots().on_runner(name);
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Touches what is wanted, demanded, kept, held or answered, if it is of a kind.
+    /// Touches all required, demanded, kept, prewarmed or answered artifacts that match a predicate.
     pub(super) fn touch_where(
         &mut self,
         is_of_kind: impl Fn(&ArtifactId) -> bool,
@@ -131,31 +131,31 @@
     }
 
     fn quota_slice(&mut self, context: &Context) -> Vec<QuotaSubject> {
-        let size = round_size(self.quotas.len(), QUOTA_ROUNDS, context);
+        let size = round_size(self.quotas.len(), QUOTA_ROUNDS_PER_PASS, context);
         let following = self.quotas.following(self.cursors.quotas.as_ref());
         let slice: Vec<QuotaSubject> = following.take(size).cloned().collect();
         self.cursors.quotas = slice.last().cloned();
         slice
     }
 
-    /// Slots whose use is looked at in this round.
+    /// Slots that are checked for use in this housekeeping round.
     pub(super) fn slot_slice(&mut self, context: &Context) -> Vec<Slot> {
         let slots = self.placement.slots();
         let following = slots.following(self.cursors.slots.as_ref());
-        let size = round_size(slots.len(), ROUNDS, context);
+        let size = round_size(slots.len(), ROUNDS_PER_PASS, context);
         let slice: Vec<Slot> = following.take(size).cloned().collect();
         self.cursors.slots = slice.last().cloned();
         slice
     }
 
-    /// The quotas that the plan looks at.
+    /// The quota subjects that the plan checks.
     pub(super) fn subjects_due(
         &mut self,
-        focus: &BTreeSet<ArtifactId>,
+        scope: &BTreeSet<ArtifactId>,
         housekeeping: bool,
         context: &Context,
     ) -> BTreeSet<QuotaSubject> {
-        let mut subjects = self.quotas.take_changed(QUOTAS_PER_PLAN);
+        let mut subjects = self.quotas.take_changed(MAX_QUOTAS_PER_PLAN);
         subjects.extend(self.quotas.unfinished().cloned());
         subjects.extend(self.contested.iter().cloned());
         self.quotas_due.extend(self.placement.take_changed());
@@ -163,12 +163,12 @@
             self.quotas_due.append(&mut self.unstepped);
         }
         let due = std::iter::from_fn(|| self.quotas_due.pop_first());
-        subjects.extend(due.take(QUOTAS_PER_PLAN));
+        subjects.extend(due.take(MAX_QUOTAS_PER_PLAN));
         if housekeeping {
             subjects.extend(self.quota_slice(context));
         }
-        // What is wanted no longer may have been asked for.
-        let concerned = focus.iter().filter(|artifact| {
+        // Units may still be requested for an artifact that is no longer required.
+        let concerned = scope.iter().filter(|artifact| {
             self.wanted.contains_key(artifact) || self.sent_on.contains_key(artifact)
         });
         subjects.extend(concerned.map(subject_of));
--- a/crates/control/src/coordinator/progress.rs
+++ b/crates/control/src/coordinator/progress.rs
@@ -209,7 +209,7 @@
 
     /// Wishes for the slot of a load. False if there is none to be had.
     fn obtain_slot(&mut self, slot: &Slot, context: &Context) -> bool {
-        if self.placement.adding(slot) || self.placement.wished(slot) {
+        if self.placement.is_being_added(slot) || self.placement.is_addition_requested(slot) {
             return true;
         }
         if context.in_outage {
@@ -223,10 +223,10 @@
         }
         match source {
             SlotSource::Unit => {}
-            SlotSource::Replace(old) => self.placement.wish_removed(&old),
+            SlotSource::Replace(old) => self.placement.request_removal(&old),
             SlotSource::None => return false,
         }
-        self.placement.wish_added(slot.clone());
+        self.placement.request_addition(slot.clone());
         true
     }
 
--- a/crates/control/src/coordinator/quota.rs
+++ b/crates/control/src/coordinator/quota.rs
@@ -1,9 +1,9 @@
-//! Keeps the zone's units of each quota.
+//! Maintains the zone's units of each quota.
 //!
-//! The sum of all zones' units stays under the limit: a zone raises its own units only in the
-//! compare-and-swap that checks the sum, and gives units away only after their slots are freed. A
-//! former coordinator of this zone might still give units away; so a coordinator counts on its units
-//! for new slots only once it has written the record under its own term.
+//! The sum of all zones' units never exceeds the limit: a zone raises its own units only in the
+//! compare-and-swap that checks the sum, and releases units only after their slots are freed. A
+//! former coordinator of this zone might still release units; so a coordinator uses its units for
+//! new slots only once it has written the record under its own term.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -31,13 +31,13 @@
     /// The record must be read before the next write.
     stale: bool,
     /// A write of an earlier term by this daemon is outstanding.
-    stray: bool,
+    has_earlier_term_write: bool,
     next_step: Timestamp,
 }
 
-/// All quotas as the zone knows them.
+/// The last known records of all quotas, and the writes in progress.
 #[derive(Clone, Debug)]
-pub(super) struct QuotaBook {
+pub(super) struct QuotaTable {
     term: Term,
     zone: ZoneName,
     weakness: Weakness,
@@ -46,14 +46,14 @@
     next_read: Timestamp,
     entries: BTreeMap<QuotaSubject, Entry>,
     /// Highest term of this zone in any record.
-    highest: Term,
-    /// Subjects whose records have changed since they were last looked at.
+    highest_term: Term,
+    /// Subjects whose records have changed since they were last returned by `take_changed`.
     changed: BTreeSet<QuotaSubject>,
     /// Subjects with a write that failed or whose outcome is unknown.
     unfinished: BTreeSet<QuotaSubject>,
 }
 
-impl QuotaBook {
+impl QuotaTable {
     pub(super) fn new(term: Term, zone: ZoneName, weakness: Weakness) -> Self {
         Self {
             term,
@@ -63,7 +63,7 @@
             reading: false,
             next_read: Timestamp::ZERO,
             entries: BTreeMap::new(),
-            highest: term,
+            highest_term: term,
             changed: BTreeSet::new(),
             unfinished: BTreeSet::new(),
         }
@@ -75,8 +75,8 @@
     }
 
     /// Highest term under which this zone has written a quota.
-    pub(super) fn highest(&self) -> Term {
-        self.highest
+    pub(super) fn highest_term(&self) -> Term {
+        self.highest_term
     }
 
     /// Subjects with a write outstanding.
@@ -86,26 +86,29 @@
         entries.map(|(subject, _)| subject.clone()).collect()
     }
 
-    /// Waits for the answers to writes of an earlier term before it writes these.
-    pub(super) fn await_strays(&mut self, subjects: &[QuotaSubject]) {
+    /// Blocks writes to these subjects until their writes of an earlier term are answered.
+    pub(super) fn await_earlier_term_writes(&mut self, subjects: &[QuotaSubject]) {
         for subject in subjects {
-            self.entries.entry(subject.clone()).or_default().stray = true;
+            self.entries
+                .entry(subject.clone())
+                .or_default()
+                .has_earlier_term_write = true;
         }
     }
 
-    /// The answer to a write of an earlier term has come.
-    pub(super) fn stray_answered(&mut self, subject: &QuotaSubject) {
+    /// Handles the answer to a write of an earlier term.
+    pub(super) fn earlier_term_write_answered(&mut self, subject: &QuotaSubject) {
         if let Some(entry) = self.entries.get_mut(subject) {
-            entry.stray = false;
+            entry.has_earlier_term_write = false;
         }
     }
 
-    /// Number of subjects known.
+    /// Number of known subjects.
     pub(super) fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// The subjects that follow one in their order, round and round.
+    /// All subjects in cyclic order, starting after the given one.
     pub(super) fn following(
         &self,
         last: Option<&QuotaSubject>,
@@ -113,13 +116,13 @@
         following(&self.entries, last).map(|(subject, _)| subject)
     }
 
-    /// Some subjects whose records have changed since they were last taken.
-    pub(super) fn take_changed(&mut self, most: usize) -> BTreeSet<QuotaSubject> {
+    /// Takes up to `max` of the subjects whose records have changed since they were last taken.
+    pub(super) fn take_changed(&mut self, max: usize) -> BTreeSet<QuotaSubject> {
         let taken = std::iter::from_fn(|| self.changed.pop_first());
-        taken.take(most).collect()
+        taken.take(max).collect()
     }
 
-    /// The subjects with a write to be made again or settled.
+    /// The subjects with a write to retry or whose outcome must be resolved.
     pub(super) fn unfinished(&self) -> impl Iterator<Item = &QuotaSubject> {
         self.unfinished.iter()
     }
@@ -130,7 +133,7 @@
         entry.record.as_ref().map(|(_, quota)| quota)
     }
 
-    /// Units that the zone certainly has and keeps.
+    /// Units that the zone has under every possible outcome of its writes.
     pub(super) fn units(&self, subject: &QuotaSubject) -> u32 {
         let Some(entry) = self.entries.get(subject) else {
             return 0;
@@ -145,7 +148,7 @@
             .fold(recorded, u32::min)
     }
 
-    /// Units on which new slots may count.
+    /// Units that new slots may use: those of a record written under this coordinator's term.
     pub(super) fn claimed_units(&self, subject: &QuotaSubject) -> u32 {
         let claimed = self
             .record(subject)
@@ -172,8 +175,8 @@
         zones.into_iter().map(|(_, zone)| zone.clone()).collect()
     }
 
-    /// Units that other zones ask for.
-    pub(super) fn asked_by_others(&self, subject: &QuotaSubject) -> u32 {
+    /// Units that other zones request.
+    pub(super) fn requested_by_others(&self, subject: &QuotaSubject) -> u32 {
         let others = |quota: &Quota| {
             let wanted = quota.wanted.iter().filter(|(zone, _)| **zone != self.zone);
             wanted.map(|(_, units)| *units).sum()
@@ -181,16 +184,16 @@
         self.record(subject).map_or(0, others)
     }
 
-    /// The units down to which the zone should free its slots.
+    /// The number of units down to which the zone should free its slots.
     pub(super) fn goal(&self, subject: &QuotaSubject, rule: &QuotaRule, need: &QuotaNeed) -> u32 {
         let Some(quota) = self.record(subject) else {
             return 0;
         };
         let own = own_units(quota, &self.zone);
-        let spare = own.saturating_sub(need.kept);
-        let given = spare.min(self.asked_by_others(subject));
-        let goal = own - given;
-        // With an older configuration than the record's, the record is right.
+        let surplus = own.saturating_sub(need.retained);
+        let released = surplus.min(self.requested_by_others(subject));
+        let goal = own - released;
+        // If the local configuration is older than the record's, the record takes precedence.
         let outdated = rule.revision < quota.rule;
         let allowed = total(quota) <= rule.limit && rule.zones.contains(&self.zone);
         if outdated || allowed {
@@ -200,7 +203,7 @@
         goal.min(split.get(&self.zone).copied().unwrap_or(0))
     }
 
-    /// Reads all quotas if that has not succeeded yet.
+    /// Reads all quotas unless a read has succeeded or is in progress.
     pub(super) fn read_all(&mut self, now: Timestamp) -> Option<CoordinatorAction> {
         if self.loaded || self.reading || now < self.next_read {
             return None;
@@ -218,7 +221,7 @@
         now: Timestamp,
         settings: &CoordinatorSettings,
     ) -> Option<CoordinatorAction> {
-        if !self.loaded || self.highest > self.term {
+        if !self.loaded || self.highest_term > self.term {
             return None;
         }
         let goal = self.goal(subject, rule, need);
@@ -230,17 +233,17 @@
             weakness: self.weakness,
         };
         let entry = self.entries.entry(subject.clone()).or_default();
-        if entry.stray || entry.outstanding.is_some() || now < entry.next_step {
+        if entry.has_earlier_term_write || entry.outstanding.is_some() || now < entry.next_step {
             return None;
         }
         if entry.stale {
             entry.next_step = now + settings.order_retry;
-            // A record that was never seen may not exist, and then no answer comes.
+            // A record that was never read may not exist, and reading it then gives no answer.
             entry.stale = entry.record.is_some();
             return Some(CoordinatorAction::ReadQuota(subject.clone()));
         }
         let next = match &entry.record {
-            None => need.claims.then(|| draft.created(subject)),
+            None => need.requires_claim.then(|| draft.initial_record(subject)),
             Some((_, quota)) => draft.successor(quota, goal, !entry.unsettled.is_empty()),
         };
         let Some(next) = next else {
@@ -272,10 +275,10 @@
         }
     }
 
-    /// A record was read or changed by someone. Returns whether it is new.
+    /// Applies a record that was read or reported as changed. Returns whether its revision is new.
     pub(super) fn on_changed(&mut self, revision: Revision, quota: Quota) -> bool {
         let written_under = quota.terms.get(&self.zone).copied().unwrap_or_default();
-        self.highest = self.highest.max(written_under);
+        self.highest_term = self.highest_term.max(written_under);
         let entry = self.entries.entry(quota.subject.clone()).or_default();
         let known = entry.record.as_ref().map(|(known, _)| *known);
         if known > Some(revision) {
--- a/crates/control/src/coordinator/quota_draft.rs
+++ b/crates/control/src/coordinator/quota_draft.rs
@@ -1,7 +1,7 @@
-//! What a zone would write into the record of a quota: no state, only the rules of one record.
+//! Computes the quota record that a zone writes: stateless rules over a single record.
 //!
-//! The sum of all zones' units stays under the limit. What a zone frees goes to those who ask for it
-//! in the same write.
+//! The sum of all zones' units never exceeds the limit. Units that a zone frees are granted to the
+//! requesting zones in the same write.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,36 +11,36 @@
 use super::units::{own_units, set_units, split_units, total};
 use super::weakness::Weakness;
 
-/// What the configuration says about a subject.
+/// The limits that the configuration sets for a subject.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct QuotaRule {
-    /// Units in all.
+    /// Total units of all zones.
     pub(super) limit: u32,
-    /// Zones that may have units.
+    /// Zones that may hold units.
     pub(super) zones: BTreeSet<ZoneName>,
     /// Revision of the configuration item.
     pub(super) revision: Revision,
 }
 
-/// What the zone needs of a subject.
+/// The units that the zone needs of a subject.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct QuotaNeed {
-    /// Units the zone could use now; what is missing it may ask for.
+    /// Units that the zone could use now; it may request the missing ones.
     pub(super) needed: u32,
-    /// Units it keeps even if others ask.
-    pub(super) kept: u32,
-    /// Units that recorded slots may take up.
-    pub(super) bound: u32,
-    /// Whether it is to ask other zones for what is missing.
-    pub(super) asks: bool,
-    /// Whether the record must exist and bear the own term.
-    pub(super) claims: bool,
+    /// Units that it retains even if other zones request some.
+    pub(super) retained: u32,
+    /// Units that recorded slots may occupy.
+    pub(super) committed: u32,
+    /// Whether it requests missing units from other zones.
+    pub(super) requests_units: bool,
+    /// Whether the record must exist and carry this coordinator's term.
+    pub(super) requires_claim: bool,
 }
 
-/// One zone before the record of one subject.
+/// The inputs from which one zone computes its next version of a record.
 pub(super) struct Draft<'a> {
     pub(super) zone: &'a ZoneName,
-    /// The zone's term, which every write bears.
+    /// The coordinator's term, which every write carries.
     pub(super) term: Term,
     pub(super) rule: &'a QuotaRule,
     pub(super) need: &'a QuotaNeed,
@@ -49,7 +49,7 @@
 
 impl Draft<'_> {
     /// The first record of a subject.
-    pub(super) fn created(&self, subject: &QuotaSubject) -> Quota {
+    pub(super) fn initial_record(&self, subject: &QuotaSubject) -> Quota {
         Quota {
             subject: subject.clone(),
             limit: self.rule.limit,
@@ -60,13 +60,13 @@
         }
     }
 
-    /// What is to be written in place of a record, if anything is. `is_unsettled` tells that the
-    /// outcome of an earlier write is unknown, which another write settles.
+    /// The record to write in place of the given one, if a write is needed. `is_unsettled` means that
+    /// the outcome of an earlier write is unknown; another write resolves it.
     pub(super) fn successor(&self, quota: &Quota, goal: u32, is_unsettled: bool) -> Option<Quota> {
         let mut next = self.revised(quota, goal);
         let is_claimed = quota.terms.get(self.zone) == Some(&self.term);
         let must_claim =
-            self.need.claims && !is_claimed && self.weakness != Weakness::UnclaimedQuota;
+            self.need.requires_claim && !is_claimed && self.weakness != Weakness::UnclaimedQuota;
         if next == *quota && !must_claim && !is_unsettled {
             return None;
         }
@@ -74,15 +74,15 @@
         Some(next)
     }
 
-    /// The record as this zone would have it.
+    /// The record with this zone's changes applied.
     fn revised(&self, quota: &Quota, goal: u32) -> Quota {
         let mut next = quota.clone();
-        self.take_rule(&mut next);
+        self.apply_rule(&mut next);
         let own = own_units(quota, self.zone);
-        let lowered = goal.max(self.need.bound).min(own);
+        let lowered = goal.max(self.need.committed).min(own);
         set_units(&mut next, self.zone, lowered);
-        // What the goal leaves over goes to those who ask, as far as the rule allows.
-        grant(&mut next, self.zone, own - lowered);
+        // Units above the goal are granted to the requesting zones, up to the limit.
+        grant_freed(&mut next, self.zone, own - lowered);
         if lowered == own && self.rule.zones.contains(self.zone) {
             self.raise(&mut next, own);
         } else {
@@ -95,9 +95,9 @@
         next
     }
 
-    /// Brings the record up to a newer rule.
-    fn take_rule(&self, next: &mut Quota) {
-        // A removed item has no revision of its own, and its limit of zero is written once.
+    /// Applies a newer rule to the record.
+    fn apply_rule(&self, next: &mut Quota) {
+        // A removed item has no revision of its own, so its limit of zero is written only once.
         let is_removed = self.rule.limit == 0 && next.limit == 0;
         if self.rule.revision > next.rule && !is_removed {
             next.rule = self.rule.revision;
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Takes up free units, and asks for what is missing beyond them.
+    /// Acquires free units, and requests the units that are still missing.
     fn raise(&self, next: &mut Quota, own: u32) {
         let free = next.limit.min(self.rule.limit).saturating_sub(total(next));
         let missing = self.need.needed.saturating_sub(own);
@@ -116,11 +116,11 @@
             checked
         };
         set_units(next, self.zone, own + raise);
-        ask(next, self.zone, self.need, missing.saturating_sub(raise));
+        update_request(next, self.zone, self.need, missing.saturating_sub(raise));
     }
 
-    /// Units that the zone may take up ahead of need, because its even share is larger than what it
-    /// has.
+    /// Units that the zone may acquire before it needs them, because its even share is larger than
+    /// what it has.
     fn unused_share(&self, quota: &Quota, own: u32) -> u32 {
         if total(quota) >= self.rule.limit {
             return 0;
@@ -131,20 +131,20 @@
     }
 }
 
-/// Passes freed units on to zones that ask for some.
-fn grant(quota: &mut Quota, zone: &ZoneName, freed: u32) {
+/// Grants freed units to the zones that request some.
+fn grant_freed(quota: &mut Quota, zone: &ZoneName, freed: u32) {
     let free = quota.limit.saturating_sub(total(quota));
-    let mut left = freed.min(free);
-    let asking: Vec<ZoneName> = quota
+    let mut remaining = freed.min(free);
+    let requesting: Vec<ZoneName> = quota
         .wanted
         .keys()
-        .filter(|asking| *asking != zone)
+        .filter(|requesting| *requesting != zone)
         .cloned()
         .collect();
-    for other in asking {
+    for other in requesting {
         let wanted = quota.wanted.get(&other).copied().unwrap_or(0);
-        let granted = wanted.min(left);
-        left -= granted;
+        let granted = wanted.min(remaining);
+        remaining -= granted;
         *quota.units.entry(other.clone()).or_default() += granted;
         if granted == wanted {
             quota.wanted.remove(&other);
@@ -154,11 +154,11 @@
     }
 }
 
-/// Asks other zones for units that are missing, or takes the wish back.
-fn ask(quota: &mut Quota, zone: &ZoneName, need: &QuotaNeed, missing: u32) {
+/// Requests missing units from other zones, or withdraws the request.
+fn update_request(quota: &mut Quota, zone: &ZoneName, need: &QuotaNeed, missing: u32) {
     if missing == 0 || need.needed == 0 {
         quota.wanted.remove(zone);
-    } else if need.asks {
+    } else if need.requests_units {
         quota.wanted.insert(zone.clone(), missing);
     }
 }
--- a/crates/control/src/coordinator/rules.rs
+++ b/crates/control/src/coordinator/rules.rs
@@ -1,4 +1,5 @@
-//! What the configuration says: the limit of each quota, what is kept loaded, what has changed.
+//! Rules derived from the configuration: the limit of each quota, the replicas kept loaded, and the
+//! changes between revisions.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,37 +13,37 @@
 use super::units::split_units;
 
 impl Leading {
-    /// Takes over the policy and the drains when the configuration has changed.
+    /// Applies the policy, the drains and the kept replicas when the configuration has changed.
     pub(super) fn apply_configuration(&mut self, context: &Context) {
         let configuration = context.configuration;
         if self.configured == Some(configuration.revision()) {
             return;
         }
         let known = self.configured.unwrap_or_default();
-        self.note_changed_rules(known, context);
+        self.mark_changed_rules(known, context);
         self.configured = Some(configuration.revision());
         let policy = configuration.policy();
-        let for_all = known == Revision(0) || policy != self.policy;
+        let affects_all = known == Revision(0) || policy != self.policy;
         self.policy = policy;
         self.drained = configuration.drained();
         self.kept = self.kept_by_rule(context);
-        if for_all {
+        if affects_all {
             self.touch_where(|_| true, context);
         }
     }
 
-    /// Notes what the configuration has changed since a revision.
-    fn note_changed_rules(&mut self, known: Revision, context: &Context) {
+    /// Marks the quotas and artifacts that the configuration has changed since a revision.
+    fn mark_changed_rules(&mut self, known: Revision, context: &Context) {
         let configured = configured(context);
         let changes = Changes::since(known, context);
         let removed = missing(&self.configured_artifacts, &configured);
         let mut models: BTreeSet<ModelName> = removed.map(|gone| gone.model.clone()).collect();
         models.extend(changes.models);
-        models.extend(self.without_version(context));
-        // A model's zones count for its adapters as well.
+        models.extend(self.models_without_served_version(context));
+        // The zones of a model also apply to its adapters.
         let of_models = self.configured_artifacts.iter().chain(&configured);
         let of_models = of_models.filter(|artifact| models.contains(&artifact.model));
-        // At first every quota that is read is looked at anyway.
+        // With the first configuration, every quota that is read is checked anyway.
         if known > Revision(0) {
             self.quotas_due.extend(of_models.map(subject_of));
             self.quotas_due.extend(changes.adapters.iter().cloned());
@@ -54,8 +55,8 @@
         self.configured_artifacts = configured;
     }
 
-    /// Models whose version that was served is not configured any more.
-    fn without_version(&self, context: &Context) -> Vec<ModelName> {
+    /// Models whose previously served version is no longer configured.
+    fn models_without_served_version(&self, context: &Context) -> Vec<ModelName> {
         let bases = self.configured_artifacts.iter();
         let bases = bases.take_while(|artifact| !artifact.is_adapter());
         bases
@@ -64,7 +65,7 @@
             .collect()
     }
 
-    /// Replicas that the rules keep loaded in this zone.
+    /// Number of replicas of each artifact that the rules keep loaded in this zone.
     pub(super) fn kept_by_rule(&self, context: &Context) -> BTreeMap<ArtifactId, u32> {
         let mut kept = BTreeMap::new();
         for (key, _, item) in context.configuration.items() {
@@ -90,7 +91,7 @@
         kept
     }
 
-    /// What the configuration says about a subject.
+    /// The limits that the configuration sets for a subject.
     pub(super) fn rule(&self, subject: &QuotaSubject, context: &Context) -> QuotaRule {
         let configuration = context.configuration;
         let revision_of = |key: &ItemKey| configuration.item(key).map(|(revision, _)| *revision);
@@ -124,15 +125,15 @@
         QuotaRule {
             limit,
             zones,
-            // A removed item leaves no revision behind; the configuration's own is newer.
+            // A removed item has no revision; that of the whole configuration is newer.
             revision: revision.unwrap_or(configuration.revision()),
         }
     }
 }
 
-/// What was written after a revision. Items that were removed leave no trace.
+/// Items written after a revision. Removed items are not included.
 struct Changes {
-    /// Models with anything changed about them.
+    /// Models that have changed themselves or in one of their versions.
     models: BTreeSet<ModelName>,
     adapters: BTreeSet<QuotaSubject>,
 }
@@ -162,7 +163,7 @@
     }
 }
 
-/// What is in one list and not in another, both in the order of [`configured`].
+/// The artifacts that are in one list but not in another, both in the order of [`configured`].
 fn missing<'a>(
     before: &'a [ArtifactId],
     after: &'a [ArtifactId],
--- a/crates/control/src/coordinator/slots.rs
+++ b/crates/control/src/coordinator/slots.rs
@@ -1,7 +1,7 @@
-//! The recorded slots of a zone, found by quota subject and by runner, and changes to them.
+//! The recorded slots of a zone, indexed by quota subject and by runner, and changes to them.
 //!
-//! A change is kept as what it adds and removes, because a zone has thousands of slots and a write
-//! changes a few of them.
+//! A change is stored as the slots that it adds and removes, because a zone has thousands of slots
+//! and a write changes only a few of them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound::{Excluded, Unbounded};
@@ -9,7 +9,7 @@
 use flaxward_types::records::{QuotaSubject, Slot};
 use flaxward_types::{ArtifactId, RunnerName};
 
-/// What a slot's artifact counts against.
+/// The quota subject that an artifact counts against.
 pub(super) fn subject_of(artifact: &ArtifactId) -> QuotaSubject {
     match &artifact.adapter {
         Some(adapter) => QuotaSubject::Adapter(artifact.model.clone(), adapter.clone()),
@@ -30,7 +30,7 @@
         self.all.contains(slot)
     }
 
-    /// Every slot, in order.
+    /// All slots, in order.
     pub(super) fn iter(&self) -> impl Iterator<Item = &Slot> {
         self.all.iter()
     }
@@ -40,7 +40,7 @@
         self.all.len()
     }
 
-    /// The slots that follow one in their order, round and round.
+    /// All slots in cyclic order, starting after the given one.
     pub(super) fn following(&self, last: Option<&Slot>) -> impl Iterator<Item = &Slot> + use<'_> {
         let start = last.map_or(Unbounded, Excluded);
         let rest = self.all.range((start, Unbounded));
@@ -77,8 +77,8 @@
         slots.any(|slot| slot.artifact == *artifact)
     }
 
-    /// The slots once a change is carried out.
-    pub(super) fn changed_by(&self, change: &SlotChange) -> Vec<Slot> {
+    /// The slots after applying a change.
+    pub(super) fn after_change(&self, change: &SlotChange) -> Vec<Slot> {
         let kept = self
             .all
             .iter()
@@ -88,7 +88,7 @@
         slots
     }
 
-    /// Carries out a change.
+    /// Applies a change.
     pub(super) fn apply(&mut self, change: SlotChange) {
         for slot in &change.removed {
             self.remove(slot);
@@ -110,11 +110,11 @@
         if !self.all.remove(slot) {
             return;
         }
-        take_out(&mut self.by_subject, &subject_of(&slot.artifact), slot);
-        take_out(&mut self.by_runner, &slot.runner, slot);
+        remove_from_index(&mut self.by_subject, &subject_of(&slot.artifact), slot);
+        remove_from_index(&mut self.by_runner, &slot.runner, slot);
     }
 
-    /// Whether the indexes say the same as the slots; for proofs.
+    /// Whether the indexes match the slots; used by tests.
     pub(super) fn is_consistent(&self) -> bool {
         *self == self.all.iter().cloned().collect()
     }
@@ -130,8 +130,8 @@
     }
 }
 
-/// Takes a slot out of an index that has no empty entries.
-fn take_out<Key: Ord>(index: &mut BTreeMap<Key, BTreeSet<Slot>>, key: &Key, slot: &Slot) {
+/// Removes a slot from an index, and its entry once that is empty.
+fn remove_from_index<Key: Ord>(index: &mut BTreeMap<Key, BTreeSet<Slot>>, key: &Key, slot: &Slot) {
     if let Some(slots) = index.get_mut(key) {
         slots.remove(slot);
         if slots.is_empty() {
@@ -140,7 +140,8 @@
     }
 }
 
-/// A change to some slots: none of those added is among them, all of those removed are.
+/// A change relative to a set of slots, which contains none of the added and all of the removed
+/// slots.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct SlotChange {
     pub(super) added: BTreeSet<Slot>,
@@ -158,13 +159,13 @@
         slots.map(|slot| subject_of(&slot.artifact))
     }
 
-    /// Whether a slot is there once the change is carried out.
-    pub(super) fn leaves(&self, slots: &SlotTable, slot: &Slot) -> bool {
+    /// Whether a slot is present after applying the change.
+    pub(super) fn contains_after(&self, slots: &SlotTable, slot: &Slot) -> bool {
         self.added.contains(slot) || (slots.contains(slot) && !self.removed.contains(slot))
     }
 
-    /// The slots of a subject once the change is carried out.
-    pub(super) fn leaves_of_subject<'a>(
+    /// The slots of a subject after applying the change.
+    pub(super) fn of_subject_after<'a>(
         &'a self,
         slots: &'a SlotTable,
         subject: &'a QuotaSubject,
--- a/crates/control/src/coordinator/units.rs
+++ b/crates/control/src/coordinator/units.rs
@@ -1,4 +1,4 @@
-//! Units of a quota, and how they are split over zones.
+//! Units of a quota and their split over zones.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,7 +6,7 @@
 use flaxward_types::records::{Quota, QuotaSubject};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Splits units over zones: as even as can be, the remainder by rendezvous hash.
+/// Splits units evenly over zones; rendezvous hashing assigns the remainder.
 pub fn split_units(
     subject: &QuotaSubject,
     limit: u32,
@@ -31,7 +31,7 @@
 
 fn rank(subject: &QuotaSubject, zone: &ZoneName) -> u64 {
     let text = match subject {
-        // An adapter's units go first to where its model has some.
+        // Adapters rank zones like their model, so that their units go to zones where the model has some.
         QuotaSubject::Model(model) | QuotaSubject::Adapter(model, _) => {
             format!("model {model} {zone}")
         }
@@ -40,19 +40,19 @@
     xxh3_64(text.as_bytes())
 }
 
-/// Units that a zone has by the record.
+/// Units of a zone according to the record.
 pub(super) fn own_units(quota: &Quota, zone: &ZoneName) -> u32 {
     quota.units.get(zone).copied().unwrap_or(0)
 }
 
-/// Sets a zone's units; a zone without an entry has none.
+/// Sets a zone's units; a zone without an entry has zero units.
 pub(super) fn set_units(quota: &mut Quota, zone: &ZoneName, units: u32) {
     if own_units(quota, zone) != units {
         quota.units.insert(zone.clone(), units);
     }
 }
 
-/// Units of all zones.
+/// Sum of the units of all zones.
 pub(super) fn total(quota: &Quota) -> u32 {
     quota.units.values().sum()
 }
--- a/crates/control/src/coordinator/unneeded.rs
+++ b/crates/control/src/coordinator/unneeded.rs
@@ -1,4 +1,4 @@
-//! Unloads what is not needed and gives up slots that are not allowed or not needed.
+//! Unloads replicas that are not needed and releases slots that are not allowed or not needed.
 
 use std::collections::BTreeSet;
 
@@ -6,26 +6,26 @@
 use flaxward_types::records::{QuotaSubject, Slot};
 use flaxward_types::{ArtifactId, RunnerName, Timestamp};
 
-use super::focus::next_slice;
 use super::interface::UnloadReason;
 use super::leading::{Context, Leading, slot};
 use super::loads::Tier;
 use super::placement::subject_of;
+use super::plan_scope::next_slice;
 use crate::keep_alive::KeepAliveDecision;
 
 impl Leading {
-    /// Unloads replicas that are not allowed, leaving, idle or more than needed.
-    pub(super) fn unload_unneeded(&mut self, focus: &BTreeSet<ArtifactId>, context: &Context) {
-        let mut looked_at = self.held_slice(context);
-        looked_at.extend(focus.iter().cloned());
-        looked_at.sort();
-        looked_at.dedup();
+    /// Unloads replicas that are not allowed, on leaving runners, idle or surplus.
+    pub(super) fn unload_unneeded(&mut self, scope: &BTreeSet<ArtifactId>, context: &Context) {
+        let mut checked = self.held_slice(context);
+        checked.extend(scope.iter().cloned());
+        checked.sort();
+        checked.dedup();
         let mut due = Vec::new();
-        for artifact in &looked_at {
+        for artifact in &checked {
             for (name, state) in self.holdings.of(artifact) {
                 let key = slot(artifact, name);
-                let settled = state == HeldState::Ready && !self.unloads.contains_key(&key);
-                if !settled {
+                let is_ready = state == HeldState::Ready && !self.unloads.contains_key(&key);
+                if !is_ready {
                     continue;
                 }
                 if let Some(reason) = self.unload_reason(&key, context) {
@@ -36,30 +36,31 @@
         for (key, reason) in due {
             self.unload_after_adapters(&key, reason);
         }
-        self.unload_surplus(focus, context);
+        self.unload_surplus(scope, context);
     }
 
     fn unload_reason(&self, key: &Slot, context: &Context) -> Option<UnloadReason> {
-        let recorded = self.placement.slots().contains(key) || self.placement.adding(key);
+        let recorded = self.placement.slots().contains(key) || self.placement.is_being_added(key);
         if !recorded {
             return Some(UnloadReason::NoSlot);
         }
         if self.is_removed(&key.artifact, context) {
             return Some(UnloadReason::Rule);
         }
-        let leaving = self.drained.contains(&key.runner)
+        let is_leaving = self.drained.contains(&key.runner)
             || self
                 .runners
                 .get(&key.runner)
                 .is_some_and(super::runner::Runner::leaving);
-        if leaving && !self.waits_for_replacement(&key.artifact, context) {
+        if is_leaving && !self.waits_for_replacement(&key.artifact, context) {
             return Some(UnloadReason::Leaving);
         }
-        let idle = !leaving && self.is_idle(key, context);
+        let idle = !is_leaving && self.is_idle(key, context);
         idle.then_some(UnloadReason::Idle)
     }
 
-    /// Whether an artifact is configured no longer, and not only by an outdated configuration.
+    /// Whether an artifact has been removed from the configuration, and is not merely missing because
+    /// the local configuration is older than the quota record.
     fn is_removed(&self, artifact: &ArtifactId, context: &Context) -> bool {
         let record = self.quotas.record(&subject_of(artifact));
         let known = record.map(|quota| quota.rule).unwrap_or_default();
@@ -67,14 +68,14 @@
         configuration.bytes(artifact).is_none() && known <= configuration.revision()
     }
 
-    /// Whether a replica on a leaving runner stays until the one that replaces it is ready.
+    /// Whether a replica on a leaving runner is kept until its replacement is ready.
     fn waits_for_replacement(&self, artifact: &ArtifactId, context: &Context) -> bool {
-        let Some(wanted) = self.wanted.get(artifact) else {
+        let Some(target) = self.wanted.get(artifact) else {
             return false;
         };
         let ready = self.ready_on(artifact, context.now).count();
         let live = self.live_replicas(artifact, context.now);
-        live >= wanted.replicas && ready < usize::try_from(wanted.replicas).unwrap_or(usize::MAX)
+        live >= target.replicas && ready < usize::try_from(target.replicas).unwrap_or(usize::MAX)
     }
 
     fn is_idle(&self, key: &Slot, context: &Context) -> bool {
@@ -86,7 +87,8 @@
         !decision.wants_loaded(context.now.since(used))
     }
 
-    /// When what is loaded in a slot was last wanted, by itself or for an adapter on it.
+    /// When the artifact in a slot, or an adapter loaded on it, was last in use. A replica counts as
+    /// in use when it becomes ready.
     pub(super) fn last_use(&self, key: &Slot, context: &Context) -> Timestamp {
         let ready = self.ready_since.get(key).copied().unwrap_or(self.since);
         let own = context.demands.last_active(&key.artifact);
@@ -107,7 +109,7 @@
             .decide_for_size(artifact, context.now, &self.policy, load_time, bytes)
     }
 
-    /// The nearest place from which an artifact could be loaded again in this zone.
+    /// The fastest storage tier from which an artifact could be reloaded in this zone.
     fn nearest_tier(&self, artifact: &ArtifactId) -> Tier {
         let inventories = self
             .runners
@@ -120,15 +122,15 @@
             .unwrap_or(Tier::Remote)
     }
 
-    /// Works out what to load ahead of need, for a slice of all that is configured.
+    /// Updates the set of artifacts to prewarm, for a slice of the configured artifacts.
     pub(super) fn find_prewarmed(&mut self, context: &Context) {
         let slice = next_slice(
             &mut self.cursors.prewarmed,
             self.configured_artifacts.len(),
             context,
         );
-        for place in slice {
-            let artifact = self.configured_artifacts[place].clone();
+        for index in slice {
+            let artifact = self.configured_artifacts[index].clone();
             let changed = if self.is_prewarm_due(&artifact, context) {
                 self.prewarmed.insert(artifact.clone())
             } else {
@@ -148,13 +150,13 @@
         })
     }
 
-    /// Unloads one replica of what has had more than it needs for its whole keep-alive.
-    fn unload_surplus(&mut self, focus: &BTreeSet<ArtifactId>, context: &Context) {
+    /// Unloads one replica of each artifact that has had a surplus for its whole keep-alive time.
+    fn unload_surplus(&mut self, scope: &BTreeSet<ArtifactId>, context: &Context) {
         let mut due = Vec::new();
         let mut surplus_since = std::mem::take(&mut self.surplus_since);
         surplus_since.retain(|artifact, _| self.has_surplus(artifact, context.now));
         let known: BTreeSet<ArtifactId> = surplus_since.keys().cloned().collect();
-        for artifact in focus.union(&known) {
+        for artifact in scope.union(&known) {
             if !self.has_surplus(artifact, context.now) {
                 continue;
             }
@@ -175,7 +177,7 @@
         let needed = self
             .wanted
             .get(artifact)
-            .map_or(0, |wanted| wanted.replicas);
+            .map_or(0, |target| target.replicas);
         let ready = self.ready_on(artifact, now).count();
         needed > 0 && ready > usize::try_from(needed).unwrap_or(usize::MAX)
     }
@@ -193,8 +195,8 @@
         Some(slot(artifact, name))
     }
 
-    /// Finds slots of no use in a slice of all. They are kept in mind until they are given up,
-    /// because wishes are stated anew in each plan.
+    /// Finds useless slots in a slice of all slots. They are remembered until they are released,
+    /// because each plan requests its changes from scratch.
     pub(super) fn find_useless_slots(&mut self, context: &Context) {
         for key in self.slot_slice(context) {
             if self.is_useless(&key, context) {
@@ -203,7 +205,7 @@
         }
     }
 
-    /// Gives up slots of machines that are gone, and those of no use.
+    /// Requests removal of the useless slots and of those on machines that are gone.
     pub(super) fn release_slots(&mut self, context: &Context) {
         let mut useless = std::mem::take(&mut self.useless);
         useless.retain(|key| self.placement.slots().contains(key) && self.is_useless(key, context));
@@ -211,12 +213,12 @@
         let of_gone = gone.flat_map(|name| self.placement.on_runner(name));
         let given_up: Vec<Slot> = of_gone.chain(&useless).cloned().collect();
         for key in given_up {
-            self.placement.wish_removed(&key);
+            self.placement.request_removal(&key);
         }
         self.useless = useless;
     }
 
-    /// Whether a free slot is one that the configuration does not allow, or on a runner that does
+    /// Whether a slot is empty and either not allowed by the configuration or on a runner that does
     /// not serve.
     fn is_useless(&self, key: &Slot, context: &Context) -> bool {
         let useless =
@@ -224,7 +226,7 @@
         useless && self.is_empty(key, context) && !self.loads.contains_key(key)
     }
 
-    /// Frees slots of some subjects down to the goals that their quotas set.
+    /// Releases slots of the given subjects down to the goals that their quotas set.
     pub(super) fn release_excess(&mut self, subjects: &BTreeSet<QuotaSubject>, context: &Context) {
         for subject in subjects {
             if self.quotas.record(subject).is_some() {
@@ -234,15 +236,17 @@
     }
 
     fn release_down_to_goal(&mut self, subject: &QuotaSubject, context: &Context) {
-        let planned = self.placement.planned(subject);
+        let planned = self.placement.planned_slots(subject);
         let rule = self.rule(subject, context);
         let need = self.need(subject, context);
         let goal = self.quotas.goal(subject, &rule, &need);
         self.goals.insert(subject.clone(), goal);
         let mut excess = planned.saturating_sub(goal);
-        // Time alone can make a replica one that may go to those who ask.
-        let asked = self.quotas.asked_by_others(subject) > 0 && self.quotas.units(subject) > 0;
-        if excess > 0 || asked {
+        // A replica can become releasable to requesting zones merely because time passes, without an
+        // event, so the subject is checked again in each plan.
+        let is_requested =
+            self.quotas.requested_by_others(subject) > 0 && self.quotas.units(subject) > 0;
+        if excess > 0 || is_requested {
             self.contested.insert(subject.clone());
         } else {
             self.contested.remove(subject);
@@ -267,14 +271,14 @@
         }
     }
 
-    /// Gives up a slot, or begins to. False if nothing can be done about it now.
+    /// Releases a slot or starts to unload it. Returns false if neither is possible now.
     fn release(&mut self, key: &Slot, context: &Context) -> bool {
-        if self.placement.wished(key) {
+        if self.placement.is_addition_requested(key) {
             return false;
         }
         if self.is_empty(key, context) {
             self.drop_load(key);
-            self.placement.wish_removed(key);
+            self.placement.request_removal(key);
             return true;
         }
         self.unload_after_adapters(key, UnloadReason::Rule);
