--- a/crates/control/src/admission.rs
+++ b/crates/control/src/admission.rs
@@ -1,9 +1,11 @@
-//! Admission of requests at one gateway: what waits, what is sent where, what is refused and when.
+//! Admission control of one gateway: queues requests, dispatches them to replicas and refuses those
+//! that cannot be served in time.
 //!
-//! A request that finds a ready replica is sent at once. Any other waits, under a timer, while one
-//! demand per artifact and zone tells a coordinator about all of them. As soon as an answer shows
-//! that a request cannot be served before its deadline, it is refused with the time to come back;
-//! the demand is kept up until then, so that coming back is worth it.
+//! A request for which a ready replica exists is dispatched at once. All others are queued until
+//! their deadline, and one demand per artifact and zone reports all of them to a coordinator. As
+//! soon as an answer shows that a request cannot be served before its deadline, it is refused with
+//! a `retry_after`. The demand is renewed until then, so that the replica is loaded when the caller
+//! retries.
 
 mod demands;
 mod dispatching;
@@ -22,11 +24,11 @@
     RequestId,
 };
 use queue::{Waiting, WaitingQueue};
-use routes::{Hope, Routes, ZoneRoute, Zones};
+use routes::{Availability, Routes, ZoneRoute, Zones};
 
 use crate::router::Router;
 
-/// Admission at one gateway.
+/// Admission control of one gateway.
 #[derive(Clone, Debug)]
 pub struct Admission {
     settings: AdmissionSettings,
@@ -35,35 +37,36 @@
     queue: WaitingQueue,
     artifacts: BTreeMap<ArtifactId, ArtifactState>,
     running: BTreeMap<RequestId, Running>,
-    /// Runners that could not be reached, and until when they are left alone.
+    /// Runners that could not be reached, with the time until which no request is sent to them.
     unreachable: BTreeMap<RunnerName, Timestamp>,
 }
 
-/// What is known of one artifact.
+/// State of one artifact.
 #[derive(Clone, Debug, Default)]
 struct ArtifactState {
     routes: Routes,
-    /// When it was last asked for.
-    used: Timestamp,
-    /// Since when no coordinator has given the waiting requests any hope.
-    hopeless_since: Option<Timestamp>,
-    /// Callers were told to come back at this time.
-    promise: Option<Promise>,
+    /// When a request for it last arrived.
+    last_used_at: Timestamp,
+    /// Since when no coordinator has given an outlook for the waiting requests.
+    unknown_since: Option<Timestamp>,
+    /// The retry that refused callers are expected to make.
+    pending_retry: Option<PendingRetry>,
 }
 
 impl ArtifactState {
-    /// Whether a coordinator is to be told of the artifact, apart from those who wait for it.
+    /// Whether demands for the artifact are due even if no request waits for it.
     fn is_in_use(&self) -> bool {
         let is_used = |(_, route): (_, &ZoneRoute)| route.is_in_use();
-        let is_told = |(_, route): (_, &ZoneRoute)| route.told_of_waiting;
-        let is_told_too_much = self.routes.has_replica() && self.routes.iter().any(is_told);
-        self.promise.is_some() || is_told_too_much || self.routes.iter().any(is_used)
+        let is_announced = |(_, route): (_, &ZoneRoute)| route.announced_waiting;
+        let has_stale_announcement =
+            self.routes.has_replica() && self.routes.iter().any(is_announced);
+        self.pending_retry.is_some() || has_stale_announcement || self.routes.iter().any(is_used)
     }
 }
 
-/// Callers were refused and told when to come back.
+/// Refused callers that were given a time at which to retry.
 #[derive(Clone, Copy, Debug)]
-struct Promise {
+struct PendingRetry {
     until: Timestamp,
     priority: u8,
 }
@@ -77,8 +80,9 @@
 }
 
 impl Admission {
-    /// Admission at a gateway; `zones` are the zones known, its own first. Others are learnt from
-    /// their coordinators, none of which is known at first. Random draws follow from the seed.
+    /// Creates the admission control of a gateway. `zones` are the configured zones, its own first;
+    /// further zones are added when their coordinators become known. No coordinator is known at
+    /// first. `seed` seeds the random choice of replicas.
     pub fn new(settings: AdmissionSettings, zones: Vec<ZoneName>, seed: u64) -> Self {
         Self {
             settings,
@@ -94,17 +98,17 @@
         }
     }
 
-    /// Requests that wait.
+    /// Number of queued requests.
     pub fn waiting(&self) -> usize {
         self.queue.len()
     }
 
-    /// Requests that are at a back end.
+    /// Number of requests dispatched to a back end.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// How each artifact stands that is in use or was lately.
+    /// Status of each artifact that is in use or was used recently.
     pub fn views(&self, now: Timestamp) -> Vec<ArtifactView> {
         self.artifacts
             .iter()
@@ -123,8 +127,8 @@
             .iter()
             .map(|(_, route)| route.ready().len())
             .sum();
-        let expected = match self.hope(state, now) {
-            Hope::At(time) => Some(time.since(now)),
+        let expected = match self.availability(state, now) {
+            Availability::At(time) => Some(time.since(now)),
             _ => None,
         };
         let earliest = self.queue.earliest_deadline(artifact);
@@ -139,7 +143,7 @@
         }
     }
 
-    /// Takes an event and says what to do.
+    /// Applies an event and returns the actions to carry out.
     pub fn handle(&mut self, now: Timestamp, event: AdmissionEvent) -> Vec<AdmissionAction> {
         let mut actions = Vec::new();
         if let AdmissionEvent::CallerGone(request) = event {
@@ -147,14 +151,15 @@
             self.end(request);
             return actions;
         }
-        // Before the event, so that nothing is sent after its deadline between two ticks.
+        // Runs before the event is applied, so that no request is dispatched after its deadline
+        // between two ticks.
         while let Some(request) = self.queue.overdue(now) {
             self.refuse(now, Some(request), ResultCode::DeadlinePassed, &mut actions);
         }
         match event {
             AdmissionEvent::Arrive(arrival) => self.arrive(now, arrival, &mut actions),
             AdmissionEvent::Routes(answer) => self.apply_routes(now, answer, &mut actions),
-            AdmissionEvent::RoutesHeld(held) => self.confirm_routes(now, &held),
+            AdmissionEvent::RoutesHeld(confirmation) => self.confirm_routes(now, &confirmation),
             AdmissionEvent::Finished(request) | AdmissionEvent::CallerGone(request) => {
                 self.end(request);
             }
@@ -162,7 +167,7 @@
                 request,
                 fault,
                 deadline,
-            } => self.take_back(now, request, fault, deadline, &mut actions),
+            } => self.requeue(now, request, fault, deadline, &mut actions),
             AdmissionEvent::Heads(heads) => {
                 self.zones.set_heads(heads);
                 self.review_all(now, &mut actions);
@@ -173,7 +178,7 @@
             }
             AdmissionEvent::Tick => self.tick(now, &mut actions),
         }
-        self.renew_along(now, &mut actions);
+        self.renew_due_soon(now, &mut actions);
         actions
     }
 
@@ -187,7 +192,7 @@
         self.admit(now, waiting, actions);
     }
 
-    /// Sends a request, refuses it or lets it wait.
+    /// Dispatches, refuses or queues a request.
     fn admit(&mut self, now: Timestamp, waiting: Waiting, actions: &mut Vec<AdmissionAction>) {
         let artifact = waiting.arrival.artifact.clone();
         let request = waiting.arrival.request;
@@ -197,8 +202,9 @@
             return;
         }
         let state = self.artifacts.entry(artifact.clone()).or_default();
-        state.used = now;
-        // Those who wait may have been held off a runner that takes them by now.
+        state.last_used_at = now;
+        // Exclusions of runners may have expired since the last tick, so queued requests that now
+        // have a replica go first.
         self.dispatch_waiting(now, &artifact, actions);
         match self.dispatch(now, &waiting) {
             Some(action) => actions.push(action),
@@ -218,7 +224,7 @@
             ..waiting
         };
         self.queue.insert(waiting);
-        self.refuse_hopeless(now, &artifact, actions);
+        self.refuse_unservable(now, &artifact, actions);
         while self.queue.count(&artifact) > limit {
             let lowest = self.queue.lowest_of(&artifact);
             self.refuse(now, lowest, ResultCode::QueueFull, actions);
@@ -244,29 +250,29 @@
             return;
         }
         if has_replica {
-            state.promise = None;
+            state.pending_retry = None;
         }
         self.review(now, &artifact, actions);
     }
 
-    fn confirm_routes(&mut self, now: Timestamp, held: &HeldAnswers) {
+    fn confirm_routes(&mut self, now: Timestamp, confirmation: &HeldAnswers) {
         for state in self.artifacts.values_mut() {
-            state.routes.confirm(now, held);
+            state.routes.confirm(now, confirmation);
         }
     }
 
     fn tick(&mut self, now: Timestamp, actions: &mut Vec<AdmissionAction>) {
         self.unreachable.retain(|_, until| *until > now);
-        self.forget_unused(now);
+        self.evict_unused(now);
         self.review_all(now, actions);
     }
 
-    fn forget_unused(&mut self, now: Timestamp) {
+    fn evict_unused(&mut self, now: Timestamp) {
         let expiry = self.settings.route_expiry;
         let queue = &self.queue;
         self.artifacts.retain(|artifact, state| {
             let in_use = queue.count(artifact) > 0 || state.is_in_use();
-            in_use || now.since(state.used) < expiry
+            in_use || now.since(state.last_used_at) < expiry
         });
     }
 
@@ -281,7 +287,8 @@
         }
     }
 
-    /// Sends what can be sent, refuses what has no hope and renews the demand of an artifact.
+    /// Dispatches the waiting requests that have a replica, refuses those that cannot be served and
+    /// renews the demand for an artifact.
     fn review(
         &mut self,
         now: Timestamp,
@@ -289,8 +296,8 @@
         actions: &mut Vec<AdmissionAction>,
     ) {
         self.dispatch_waiting(now, artifact, actions);
-        self.refuse_hopeless(now, artifact, actions);
-        self.end_promise(now, artifact);
+        self.refuse_unservable(now, artifact, actions);
+        self.expire_pending_retry(now, artifact);
         self.send_demands(now, artifact, actions);
     }
 
--- a/crates/control/src/admission/dispatching.rs
+++ b/crates/control/src/admission/dispatching.rs
@@ -1,4 +1,4 @@
-//! Sending requests to replicas, and taking them back.
+//! Dispatches requests to replicas and requeues those that back ends return.
 
 use flaxward_types::routing::Replica;
 use flaxward_types::{ArtifactId, Timestamp, ZoneName};
@@ -8,7 +8,7 @@
 use super::{Admission, Running};
 
 impl Admission {
-    pub(super) fn take_back(
+    pub(super) fn requeue(
         &mut self,
         now: Timestamp,
         request: RequestId,
@@ -62,7 +62,7 @@
         state.is_some_and(|state| state.routes.has_replica())
     }
 
-    /// Sends a request to a replica, if one takes it now.
+    /// Dispatches a request if a replica accepts it now.
     pub(super) fn dispatch(
         &mut self,
         now: Timestamp,
@@ -88,23 +88,23 @@
         })
     }
 
-    /// Chooses a replica in the nearest zone that has one for the request.
+    /// Chooses a replica in the first zone, by order of preference, that has an eligible one.
     fn choose(&mut self, now: Timestamp, waiting: &Waiting) -> Option<(ZoneName, Replica)> {
         let state = self.artifacts.get(&waiting.arrival.artifact)?;
         let unreachable = &self.unreachable;
-        let takes = |replica: &&Replica| {
-            let is_held_off = |until: &Timestamp| *until > now;
+        let accepts = |replica: &&Replica| {
+            let is_excluded = |until: &Timestamp| *until > now;
             !waiting
                 .avoided
                 .get(&replica.runner)
-                .is_some_and(is_held_off)
-                && !unreachable.get(&replica.runner).is_some_and(is_held_off)
+                .is_some_and(is_excluded)
+                && !unreachable.get(&replica.runner).is_some_and(is_excluded)
         };
         for zone in &self.zones.order {
             let Some(route) = state.routes.zone(zone) else {
                 continue;
             };
-            let candidates = route.ready().iter().filter(takes);
+            let candidates = route.ready().iter().filter(accepts);
             if let Some(replica) = self.router.choose(candidates, waiting.arrival.prefix) {
                 return Some((zone.clone(), replica.clone()));
             }
--- a/crates/control/src/admission/interface.rs
+++ b/crates/control/src/admission/interface.rs
@@ -1,4 +1,4 @@
-//! What admission is told and what it asks for.
+//! Events, actions and settings of admission control.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -6,35 +6,35 @@
 use flaxward_types::routing::{Demand, HeldAnswers, RouteAnswer};
 use flaxward_types::{ArtifactId, Refusal, RunnerName, Timestamp, ZoneName};
 
-/// Number of a request within one daemon; never used twice.
+/// Identifier of a request, unique within one daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// Limits and durations that steer admission. The defaults are those of the settings file.
+/// Limits and durations of admission control. The defaults are those of the settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AdmissionSettings {
-    /// Requests waiting for all artifacts together, at most.
+    /// Maximum number of requests waiting for all artifacts together.
     pub total_limit: usize,
-    /// How long a request waits for a coordinator that gives it any hope.
+    /// How long a request waits without any outlook from a coordinator before it is refused.
     pub coordinator_grace: Duration,
-    /// How long one zone may leave a demand unanswered before the next zone is asked.
-    pub zone_patience: Duration,
-    /// Time after which a zone that left a demand unanswered is asked again.
-    pub zone_recheck: Duration,
-    /// Time between two demands for the same artifact to the same zone while anyone waits.
+    /// Time for which a zone may leave a demand unanswered before the next zone is sent one.
+    pub zone_timeout: Duration,
+    /// Time after which a zone that left a demand unanswered is sent one again.
+    pub zone_retry_interval: Duration,
+    /// Minimum time between two demands for the same artifact to the same zone while requests wait.
     pub demand_period: Duration,
-    /// The same while requests run and nobody waits, if their number has changed by half or the
+    /// The same while requests run and none waits, if their number has doubled or halved or the
     /// last demand was not answered.
     pub running_demand_period: Duration,
-    /// The same if there is nothing new; such a demand only keeps replicas alive.
+    /// The same if nothing has changed; such a demand only keeps replicas loaded.
     pub renewal_period: Duration,
-    /// How long a request that a runner gave back is not sent to it again.
+    /// How long a request that a runner returned is not sent to that runner again.
     pub avoid_period: Duration,
-    /// How long a runner that could not be reached is left alone by all requests.
+    /// How long no request is sent to a runner that could not be reached.
     pub unreachable_period: Duration,
-    /// Time after which the routes of an artifact that nobody uses are forgotten.
+    /// Time after which the routes of an unused artifact are evicted.
     pub route_expiry: Duration,
-    /// When to come back if nothing better is known.
+    /// Default retry time of refusals for which no estimate is known.
     pub retry_after: Duration,
 }
 
@@ -43,8 +43,8 @@
         Self {
             total_limit: 4_096,
             coordinator_grace: Duration::from_secs(3),
-            zone_patience: Duration::from_secs(1),
-            zone_recheck: Duration::from_secs(10),
+            zone_timeout: Duration::from_secs(1),
+            zone_retry_interval: Duration::from_secs(10),
             demand_period: Duration::from_secs(1),
             running_demand_period: Duration::from_secs(2),
             renewal_period: Duration::from_secs(20),
@@ -56,66 +56,67 @@
     }
 }
 
-/// A request that wants an artifact.
+/// A request for an artifact.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Arrival {
-    /// Its number.
+    /// Its identifier.
     pub request: RequestId,
-    /// What it wants.
+    /// The artifact requested.
     pub artifact: ArtifactId,
-    /// Its rank; higher goes first.
+    /// Its priority; higher is served first.
     pub priority: u8,
-    /// When it must have been sent to a back end.
+    /// Time by which it must be dispatched to a back end.
     pub deadline: Timestamp,
-    /// Requests waiting for the artifact, at most.
+    /// Maximum number of requests waiting for the artifact.
     pub queue_limit: usize,
-    /// Digest of the start of its prompt, for the back ends' prefix caches.
+    /// Digest of the prompt prefix, for affinity with the back ends' prefix caches.
     pub prefix: Option<u64>,
 }
 
-/// Why a back end gave a request back.
+/// Why a request was returned from a back end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BackEndFault {
     /// It refused before running.
     Refused,
-    /// No connection could be made; other requests avoid the runner for a while as well.
+    /// No connection could be made; no request is sent to the runner for
+    /// [`AdmissionSettings::unreachable_period`].
     Unreachable,
-    /// It broke off; the request goes on elsewhere.
+    /// The connection broke during the request, which continues on another runner.
     Broken,
 }
 
 /// What happened.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AdmissionEvent {
-    /// A request has arrived.
+    /// A request arrived.
     Arrive(Arrival),
-    /// A coordinator has answered a demand.
+    /// A coordinator answered a demand.
     Routes(RouteAnswer),
-    /// A coordinator says that answers of its still hold.
+    /// A coordinator confirmed that some of its answers are still valid.
     RoutesHeld(HeldAnswers),
-    /// A dispatched request has ended.
+    /// A dispatched request ended.
     Finished(RequestId),
-    /// A dispatched request wants another back end; it waits again.
+    /// A dispatched request needs another back end and is queued again.
     Returned {
         /// The request.
         request: RequestId,
-        /// Why.
+        /// Why it was returned.
         fault: BackEndFault,
-        /// When it must have been sent to another one.
+        /// Time by which it must be dispatched to another one.
         deadline: Timestamp,
     },
-    /// The caller of a waiting or dispatched request is gone.
+    /// The caller of a waiting or dispatched request disconnected.
     CallerGone(RequestId),
     /// The zones whose coordinator is known.
     Heads(BTreeSet<ZoneName>),
-    /// The runners that take no new work.
+    /// The runners that accept no new work.
     Leaving(BTreeSet<RunnerName>),
-    /// Time has passed; sent at least every 50 ms.
+    /// Periodic timer; sent at least every 50 ms.
     Tick,
 }
 
-/// What to do. Each arrival and each return is answered by exactly one [`Self::Dispatch`] or
-/// [`Self::Refuse`], unless the caller goes first.
+/// What to do. Each arrival and each return leads to exactly one [`Self::Dispatch`] or
+/// [`Self::Refuse`], unless the caller disconnects first.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AdmissionAction {
     /// Send the request to a back end.
@@ -131,33 +132,33 @@
     Refuse {
         /// The request.
         request: RequestId,
-        /// Why, and when to come back.
+        /// Why, and when to retry.
         refusal: Refusal,
     },
-    /// Tell the coordinator of a zone what is wanted.
+    /// Send a demand to the coordinator of a zone.
     SendDemand {
         /// The zone.
         zone: ZoneName,
-        /// What is wanted.
+        /// The demand.
         demand: Demand,
     },
 }
 
-/// How one artifact stands, for operators.
+/// Status of one artifact, for operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ArtifactView {
     /// The artifact.
     pub artifact: ArtifactId,
-    /// Requests that wait for it.
+    /// Requests waiting for it.
     pub waiting: usize,
-    /// Requests that run on it.
+    /// Requests running on its replicas.
     pub running: usize,
-    /// Highest priority among those waiting.
+    /// Highest priority among the waiting requests.
     pub priority: Option<u8>,
-    /// Time left to the earliest deadline among those waiting.
+    /// Time left to the earliest deadline among the waiting requests.
     pub earliest_deadline: Option<Duration>,
     /// Time left until a replica is expected, while a load is in progress.
     pub expected: Option<Duration>,
-    /// Replicas that take new work.
+    /// Replicas that accept new work.
     pub replicas: usize,
 }
--- a/crates/control/src/admission/queue.rs
+++ b/crates/control/src/admission/queue.rs
@@ -1,4 +1,4 @@
-//! The waiting requests of all artifacts, in order of rank and of deadline.
+//! The queue of waiting requests of all artifacts, ordered by rank and by deadline.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -7,20 +7,21 @@
 
 use super::interface::{Arrival, RequestId};
 
-/// A request that waits.
+/// A queued request.
 #[derive(Clone, Debug)]
 pub(super) struct Waiting {
-    /// What arrived.
+    /// The request as it arrived.
     pub arrival: Arrival,
-    /// Since when it waits.
+    /// When it was queued.
     pub since: Timestamp,
-    /// Whether a demand tells, or has told, of its arrival.
+    /// Whether its arrival is counted in a demand, sent or pending.
     pub counted: bool,
-    /// Runners it must not be sent to before the time given.
+    /// Runners it must not be sent to, with the time at which the exclusion ends.
     pub avoided: BTreeMap<RunnerName, Timestamp>,
 }
 
-/// Place in the order: the least goes first when the queue is full, the greatest is served first.
+/// Order of the queue: the lowest rank is dropped first when the queue is full, the highest is
+/// served first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
     priority: u8,
@@ -54,24 +55,22 @@
 }
 
 impl WaitingQueue {
-    /// Requests in all.
+    /// Number of requests for all artifacts.
     pub fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// Requests waiting for one artifact.
+    /// Number of requests waiting for one artifact.
     pub fn count(&self, artifact: &ArtifactId) -> usize {
         self.by_artifact
             .get(artifact)
             .map_or(0, |queue| queue.ranks.len())
     }
 
-    /// One request.
     pub fn get(&self, request: RequestId) -> Option<&Waiting> {
         self.requests.get(&request)
     }
 
-    /// Adds a request.
     pub fn insert(&mut self, waiting: Waiting) {
         let rank = Rank::of(&waiting.arrival);
         let deadline = (waiting.arrival.deadline, waiting.arrival.request);
@@ -86,7 +85,6 @@
         self.requests.insert(waiting.arrival.request, waiting);
     }
 
-    /// Takes a request out.
     pub fn remove(&mut self, request: RequestId) -> Option<Waiting> {
         let waiting = self.requests.remove(&request)?;
         let rank = Rank::of(&waiting.arrival);
@@ -103,18 +101,18 @@
         Some(waiting)
     }
 
-    /// The request that goes first when an artifact's queue is full.
+    /// The request to drop when an artifact's queue is full.
     pub fn lowest_of(&self, artifact: &ArtifactId) -> Option<RequestId> {
         let lowest = self.by_artifact.get(artifact)?.ranks.first()?;
         Some(lowest.request.0)
     }
 
-    /// The request that goes first when all queues together are full.
+    /// The request to drop when the total limit is exceeded.
     pub fn lowest(&self) -> Option<RequestId> {
         self.ranks.first().map(|rank| rank.request.0)
     }
 
-    /// Requests for an artifact, first to be served first.
+    /// Requests for an artifact, highest rank first.
     pub fn in_order(&self, artifact: &ArtifactId) -> impl Iterator<Item = &Waiting> {
         self.by_artifact
             .get(artifact)
@@ -123,19 +121,19 @@
             .filter_map(|rank| self.requests.get(&rank.request.0))
     }
 
-    /// Highest priority among those waiting for an artifact.
+    /// Highest priority among the requests waiting for an artifact.
     pub fn highest_priority(&self, artifact: &ArtifactId) -> Option<u8> {
         let queue = self.by_artifact.get(artifact)?;
         queue.ranks.last().map(|rank| rank.priority)
     }
 
-    /// Earliest deadline among those waiting for an artifact.
+    /// Earliest deadline among the requests waiting for an artifact.
     pub fn earliest_deadline(&self, artifact: &ArtifactId) -> Option<Timestamp> {
         let queue = self.by_artifact.get(artifact)?;
         queue.deadlines.first().map(|&(deadline, _)| deadline)
     }
 
-    /// A request whose deadline has come.
+    /// A request whose deadline has passed, if any.
     pub fn overdue(&self, now: Timestamp) -> Option<RequestId> {
         let &(deadline, request) = self.deadlines.first()?;
         (deadline <= now).then_some(request)
--- a/crates/control/src/admission/refusing.rs
+++ b/crates/control/src/admission/refusing.rs
@@ -1,23 +1,23 @@
-//! Refusing what cannot be served, as soon as that is known.
+//! Refuses requests as soon as it is known that they cannot be served.
 
 use flaxward_types::{ArtifactId, Refusal, ResultCode, Timestamp};
 
 use super::interface::{AdmissionAction, RequestId};
 use super::queue::Waiting;
-use super::routes::{Hope, Target};
+use super::routes::{Availability, Target};
 use super::{Admission, ArtifactState};
 
 impl Admission {
-    /// What the requests waiting for an artifact may hope for.
-    pub(super) fn hope(&self, state: &ArtifactState, now: Timestamp) -> Hope {
+    /// Expected availability of replicas for the requests waiting for an artifact.
+    pub(super) fn availability(&self, state: &ArtifactState, now: Timestamp) -> Availability {
         match state.routes.target(now, &self.zones, &self.settings) {
-            Target::Zone(zone) => state.routes.hope(&zone, now, &self.settings),
-            Target::Nowhere { .. } => Hope::Unknown,
+            Target::Zone(zone) => state.routes.availability(&zone, now, &self.settings),
+            Target::Nowhere { .. } => Availability::Unknown,
         }
     }
 
-    /// Refuses at once what certainly cannot be served.
-    pub(super) fn refuse_hopeless(
+    /// Refuses the waiting requests that are known not to be servable in time.
+    pub(super) fn refuse_unservable(
         &mut self,
         now: Timestamp,
         artifact: &ArtifactId,
@@ -29,13 +29,13 @@
         let Some(state) = self.artifacts.get(artifact) else {
             return;
         };
-        let hope = self.hope(state, now);
-        self.note_hope(now, artifact, &hope);
-        match hope {
-            Hope::Ready => {}
-            Hope::Unknown => self.refuse_after_grace(now, artifact, actions),
-            Hope::At(time) => self.refuse_too_late(now, artifact, time, actions),
-            Hope::Refused(refusal) => {
+        let availability = self.availability(state, now);
+        self.record_availability(now, artifact, &availability);
+        match availability {
+            Availability::Ready => {}
+            Availability::Unknown => self.refuse_after_grace(now, artifact, actions),
+            Availability::At(time) => self.refuse_too_late(now, artifact, time, actions),
+            Availability::Refused(refusal) => {
                 let all = self.select(artifact, |_| true);
                 for request in all {
                     self.queue.remove(request);
@@ -46,12 +46,17 @@
         }
     }
 
-    fn note_hope(&mut self, now: Timestamp, artifact: &ArtifactId, hope: &Hope) {
+    fn record_availability(
+        &mut self,
+        now: Timestamp,
+        artifact: &ArtifactId,
+        availability: &Availability,
+    ) {
         let Some(state) = self.artifacts.get_mut(artifact) else {
             return;
         };
-        state.hopeless_since = match hope {
-            Hope::Unknown => state.hopeless_since.or(Some(now)),
+        state.unknown_since = match availability {
+            Availability::Unknown => state.unknown_since.or(Some(now)),
             _ => None,
         };
     }
@@ -68,7 +73,7 @@
             let Some(waiting) = self.queue.remove(request) else {
                 continue;
             };
-            self.promise(now, artifact, ready, waiting.arrival.priority);
+            self.keep_demand_for_retry(now, artifact, ready, waiting.arrival.priority);
             let refusal = self.refusal(ResultCode::DeadlineTooShort, artifact, now);
             actions.push(AdmissionAction::Refuse { request, refusal });
         }
@@ -83,29 +88,29 @@
         let Some(state) = self.artifacts.get(artifact) else {
             return;
         };
-        let Some(hopeless_since) = state.hopeless_since else {
+        let Some(unknown_since) = state.unknown_since else {
             return;
         };
         let grace = self.settings.coordinator_grace;
-        let patient = self.select(artifact, |waiting| {
-            now.since(waiting.since.max(hopeless_since)) >= grace
+        let expired = self.select(artifact, |waiting| {
+            now.since(waiting.since.max(unknown_since)) >= grace
         });
         let Some(state) = self.artifacts.get(artifact) else {
             return;
         };
-        let all_send_us_on = matches!(
+        let all_redirect = matches!(
             state.routes.target(now, &self.zones, &self.settings),
             Target::Nowhere {
                 is_any_silent: false,
                 ..
             }
         );
-        let code = if all_send_us_on {
+        let code = if all_redirect {
             ResultCode::NoQuota
         } else {
             ResultCode::NoCoordinator
         };
-        for request in patient {
+        for request in expired {
             self.refuse(now, Some(request), code, actions);
         }
     }
@@ -133,19 +138,19 @@
         actions.push(AdmissionAction::Refuse { request, refusal });
     }
 
-    /// A refusal that says when to come back: when a replica is expected, or after the default.
+    /// A refusal whose `retry_after` is the time until a replica is expected, or the default.
     pub(super) fn refusal(
         &self,
         code: ResultCode,
         artifact: &ArtifactId,
         now: Timestamp,
     ) -> Refusal {
-        let hope = self
+        let availability = self
             .artifacts
             .get(artifact)
-            .map(|state| self.hope(state, now));
-        let retry_after = match hope {
-            Some(Hope::At(time)) if time > now => time.since(now),
+            .map(|state| self.availability(state, now));
+        let retry_after = match availability {
+            Some(Availability::At(time)) if time > now => time.since(now),
             _ => self.settings.retry_after,
         };
         Refusal::new(code).with_retry_after(retry_after)
--- a/crates/control/src/admission/routes.rs
+++ b/crates/control/src/admission/routes.rs
@@ -1,4 +1,5 @@
-//! What the zones have told about one artifact, and which zone to ask next.
+//! The latest answers of the zones about one artifact, and the choice of the zone to send demands
+//! to.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -8,38 +9,38 @@
 
 use super::interface::AdmissionSettings;
 
-/// What one zone has told about one artifact.
+/// The latest answer of one zone about one artifact, and the demands sent to it.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ZoneRoute {
-    /// Its latest answer and when it came.
+    /// Its latest answer and when it was received.
     answer: Option<(Timestamp, RouteAnswer)>,
-    /// When the zone last said that it holds, by sending or by confirming it.
-    confirmed: Timestamp,
-    /// When it was last asked.
-    asked: Option<Timestamp>,
-    /// When it was asked first since its last answer.
+    /// When the zone last sent or confirmed the answer.
+    confirmed_at: Timestamp,
+    /// When the last demand was sent to it.
+    demand_sent_at: Option<Timestamp>,
+    /// When the first demand since its last answer was sent.
     unanswered_since: Option<Timestamp>,
-    /// Requests begun since it was last asked.
+    /// Requests arrived since the last demand.
     pub arrivals: u32,
-    /// Requests that run on its replicas.
+    /// Requests running on its replicas.
     pub running: u32,
-    /// Requests that ran there when it was last asked.
-    told_running: u32,
-    /// Whether it was last told that requests wait.
-    pub told_of_waiting: bool,
+    /// Running requests as reported in the last demand.
+    announced_running: u32,
+    /// Whether the last demand reported waiting requests.
+    pub announced_waiting: bool,
 }
 
-/// How a zone stands as a place to ask.
-enum Standing<'a> {
-    /// It may be asked, or is being asked.
+/// Whether demands may be sent to a zone.
+enum ZoneStatus<'a> {
+    /// Demands may be sent to it, or one is outstanding.
     Open,
-    /// It has no known coordinator or does not answer.
+    /// Its coordinator is not known or does not answer.
     Silent,
-    /// It sends us on.
+    /// It refers demands to these zones.
     Elsewhere(&'a [ZoneName]),
 }
 
-/// The zones and their order of preference, own zone first.
+/// The known zones in order of preference.
 #[derive(Clone, Debug)]
 pub(super) struct Zones {
     /// All zones, own zone first.
@@ -49,7 +50,7 @@
 }
 
 impl Zones {
-    /// Replaces the zones whose coordinator is known; new ones go to the end of the order.
+    /// Replaces the set of zones whose coordinator is known; new zones are appended to the order.
     pub fn set_heads(&mut self, heads: BTreeSet<ZoneName>) {
         for zone in &heads {
             if !self.order.contains(zone) {
@@ -60,23 +61,24 @@
     }
 }
 
-/// Where to ask.
+/// Where to send the demand for an artifact.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Target {
     /// This zone.
     Zone(ZoneName),
-    /// Every zone is silent or sends us on. All are asked again, since one may change its mind.
+    /// Every zone is silent or refers to another. Demands go to all of them, since their answers
+    /// may change.
     Nowhere {
         /// The zones.
         zones: Vec<ZoneName>,
-        /// Whether one of them is silent, so that the artifact may have a place there.
+        /// Whether one of them is silent, so that it is unknown whether it can serve the artifact.
         is_any_silent: bool,
     },
 }
 
-/// What waiting requests may hope for.
+/// When a replica is expected for waiting requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) enum Hope {
+pub(super) enum Availability {
     /// Nothing is known yet.
     Unknown,
     /// A replica is ready.
@@ -88,7 +90,7 @@
 }
 
 impl ZoneRoute {
-    /// Takes an answer, unless it is older than the last one taken. Returns whether it was taken.
+    /// Stores an answer unless it is older than the stored one. Returns whether it was stored.
     fn apply(&mut self, now: Timestamp, answer: RouteAnswer) -> bool {
         let is_older = self
             .answer
@@ -103,44 +105,44 @@
     }
 
     fn confirm(&mut self, now: Timestamp) {
-        self.confirmed = now;
+        self.confirmed_at = now;
         self.unanswered_since = None;
     }
 
-    /// What names the latest answer, if the zone has given one.
+    /// Version of the latest answer, if the zone has sent one.
     pub fn version(&self) -> Option<AnswerVersion> {
         let (_, answer) = self.answer.as_ref()?;
         Some(answer.version())
     }
 
-    /// Whether its coordinator counts on requests of this gateway, or should.
+    /// Whether this gateway has requests in the zone, or last reported some to its coordinator.
     pub fn is_in_use(&self) -> bool {
-        self.running > 0 || self.arrivals > 0 || self.told_running > 0
+        self.running > 0 || self.arrivals > 0 || self.announced_running > 0
     }
 
-    /// Whether the coordinator should hear again of requests that run.
+    /// Whether the demand for running requests is due for renewal.
     pub fn renewal_is_due(&self, now: Timestamp, settings: &AdmissionSettings) -> bool {
-        let is_news = has_changed(self.told_running, self.running);
-        let period = if is_news || self.unanswered_since.is_some() {
+        let is_changed = has_changed(self.announced_running, self.running);
+        let period = if is_changed || self.unanswered_since.is_some() {
             settings.running_demand_period
         } else {
             settings.renewal_period
         };
-        self.may_ask(now, period)
+        self.may_send_demand(now, period)
     }
 
-    fn standing(&self, now: Timestamp, settings: &AdmissionSettings) -> Standing<'_> {
+    fn status(&self, now: Timestamp, settings: &AdmissionSettings) -> ZoneStatus<'_> {
         let silent_for = self.unanswered_since.map(|since| now.since(since));
-        let silence = settings.zone_patience..settings.zone_patience + settings.zone_recheck;
+        let silence = settings.zone_timeout..settings.zone_timeout + settings.zone_retry_interval;
         if silent_for.is_some_and(|duration| silence.contains(&duration)) {
-            return Standing::Silent;
+            return ZoneStatus::Silent;
         }
-        match self.fresh_answer(now, settings.zone_recheck) {
+        match self.fresh_answer(now, settings.zone_retry_interval) {
             Some((_, answer)) => match &answer.outlook {
-                Outlook::Elsewhere { zones } => Standing::Elsewhere(zones),
-                _ => Standing::Open,
+                Outlook::Elsewhere { zones } => ZoneStatus::Elsewhere(zones),
+                _ => ZoneStatus::Open,
             },
-            None => Standing::Open,
+            None => ZoneStatus::Open,
         }
     }
 
@@ -150,20 +152,21 @@
         validity: Duration,
     ) -> Option<(Timestamp, &RouteAnswer)> {
         let (received, answer) = self.answer.as_ref()?;
-        (now.since(self.confirmed) < validity).then_some((*received, answer))
+        (now.since(self.confirmed_at) < validity).then_some((*received, answer))
     }
 
-    /// Whether a demand may be sent now.
-    pub fn may_ask(&self, now: Timestamp, period: Duration) -> bool {
-        self.asked.is_none_or(|asked| now.since(asked) >= period)
+    /// Whether the last demand is at least this long ago.
+    pub fn may_send_demand(&self, now: Timestamp, period: Duration) -> bool {
+        self.demand_sent_at
+            .is_none_or(|sent_at| now.since(sent_at) >= period)
     }
 
-    /// Notes that a demand is sent now.
-    pub fn note_asked(&mut self, now: Timestamp, settings: &AdmissionSettings) {
-        self.asked = Some(now);
+    /// Records that a demand is sent now.
+    pub fn record_demand_sent(&mut self, now: Timestamp, settings: &AdmissionSettings) {
+        self.demand_sent_at = Some(now);
         self.arrivals = 0;
-        self.told_running = self.running;
-        let silence = settings.zone_patience + settings.zone_recheck;
+        self.announced_running = self.running;
+        let silence = settings.zone_timeout + settings.zone_retry_interval;
         let expired = self
             .unanswered_since
             .is_none_or(|since| now.since(since) >= silence);
@@ -172,93 +175,95 @@
         }
     }
 
-    /// The replicas last told.
+    /// The ready replicas of the latest answer.
     pub fn ready(&self) -> &[Replica] {
         self.answer
             .as_ref()
             .map_or(&[], |(_, answer)| answer.ready.as_slice())
     }
 
-    fn hope(&self, now: Timestamp, settings: &AdmissionSettings) -> Hope {
+    fn availability(&self, now: Timestamp, settings: &AdmissionSettings) -> Availability {
         let Some((received, answer)) = self.fresh_answer(now, settings.coordinator_grace) else {
-            return Hope::Unknown;
+            return Availability::Unknown;
         };
         match &answer.outlook {
-            Outlook::Ready => Hope::Ready,
+            Outlook::Ready => Availability::Ready,
             Outlook::Loading { estimate_ms } => {
-                Hope::At(received + Duration::from_millis(*estimate_ms))
+                Availability::At(received + Duration::from_millis(*estimate_ms))
             }
-            Outlook::Elsewhere { .. } => Hope::Unknown,
+            Outlook::Elsewhere { .. } => Availability::Unknown,
             Outlook::Refused {
                 code,
                 retry_after_ms,
             } => {
                 let retry_after = Duration::from_millis(*retry_after_ms);
                 let age = now.since(received);
-                // A refusal stands for those who wait when it comes, and shortly after; then the
-                // zone is asked again, since callers who were told to come back may be back.
+                // A refusal applies to the requests waiting when it is received, and for one
+                // demand period at most. Then the zone is sent a demand again, since callers
+                // may have retried by then.
                 if age > Duration::ZERO && age >= retry_after.min(settings.demand_period) {
-                    return Hope::Unknown;
+                    return Availability::Unknown;
                 }
                 let left = retry_after.saturating_sub(age);
-                Hope::Refused(Refusal::new(*code).with_retry_after(left))
+                Availability::Refused(Refusal::new(*code).with_retry_after(left))
             }
         }
     }
 }
 
-/// Whether a number of requests has doubled or fallen by half since it was told.
-fn has_changed(told: u32, now: u32) -> bool {
-    told != now && (now >= told.saturating_mul(2) || now.saturating_mul(2) <= told)
+/// Whether a number of requests has doubled or halved since it was last reported.
+fn has_changed(announced: u32, now: u32) -> bool {
+    announced != now && (now >= announced.saturating_mul(2) || now.saturating_mul(2) <= announced)
 }
 
-/// What all zones have told about one artifact.
+/// The routes of all zones for one artifact.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Routes {
     zones: BTreeMap<ZoneName, ZoneRoute>,
 }
 
 impl Routes {
-    /// What a zone has told.
+    /// The route of a zone, if it has one.
     pub fn zone(&self, zone: &ZoneName) -> Option<&ZoneRoute> {
         self.zones.get(zone)
     }
 
-    /// What a zone has told, to be changed.
+    /// The route of a zone, created if there is none.
     pub fn zone_mut(&mut self, zone: &ZoneName) -> &mut ZoneRoute {
         self.zones.entry(zone.clone()).or_default()
     }
 
-    /// The zones with their routes.
     pub fn iter(&self) -> impl Iterator<Item = (&ZoneName, &ZoneRoute)> {
         self.zones.iter()
     }
 
-    /// Whether some zone has a replica.
+    /// Whether any zone has a ready replica.
     pub fn has_replica(&self) -> bool {
         self.zones.values().any(|route| !route.ready().is_empty())
     }
 
-    /// Takes an answer, unless it is older than the last one taken from that zone.
+    /// Stores an answer unless it is older than the stored one of that zone. Returns whether it was
+    /// stored.
     pub fn apply(&mut self, now: Timestamp, answer: RouteAnswer) -> bool {
         let zone = answer.zone.clone();
         self.zone_mut(&zone).apply(now, answer)
     }
 
-    /// Takes word of a zone that some of its answers still hold.
-    pub fn confirm(&mut self, now: Timestamp, held: &HeldAnswers) {
-        let Some(route) = self.zones.get_mut(&held.zone) else {
+    /// Applies a zone's confirmation that some of its answers are still valid.
+    pub fn confirm(&mut self, now: Timestamp, confirmation: &HeldAnswers) {
+        let Some(route) = self.zones.get_mut(&confirmation.zone) else {
             return;
         };
-        let is_held = route.version().is_some_and(|version| {
-            version.term == held.term && held.sequences.contains(&version.sequence)
+        let is_confirmed = route.version().is_some_and(|version| {
+            version.term == confirmation.term && confirmation.sequences.contains(&version.sequence)
         });
-        if is_held {
+        if is_confirmed {
             route.confirm(now);
         }
     }
 
-    /// The zone to ask now: the own zone first, then those it names, then the others in order.
+    /// The zone to send the demand to: the own zone first, then those it refers to, then the others
+    /// in order.
     pub fn target(&self, now: Timestamp, zones: &Zones, settings: &AdmissionSettings) -> Target {
         let mut next: VecDeque<ZoneName> = zones.order.first().cloned().into_iter().collect();
         let mut visited = Vec::new();
@@ -267,15 +272,15 @@
             if visited.contains(&zone) {
                 continue;
             }
-            match self.standing(&zone, now, zones, settings) {
-                Standing::Open => return Target::Zone(zone),
-                Standing::Elsewhere(named) => {
+            match self.status(&zone, now, zones, settings) {
+                ZoneStatus::Open => return Target::Zone(zone),
+                ZoneStatus::Elsewhere(named) => {
                     named
                         .iter()
                         .rev()
                         .for_each(|zone| next.push_front(zone.clone()));
                 }
-                Standing::Silent => {
+                ZoneStatus::Silent => {
                     next.extend(zones.order.iter().cloned());
                     is_any_silent = true;
                 }
@@ -288,25 +293,30 @@
         }
     }
 
-    fn standing(
+    fn status(
         &self,
         zone: &ZoneName,
         now: Timestamp,
         zones: &Zones,
         settings: &AdmissionSettings,
-    ) -> Standing<'_> {
+    ) -> ZoneStatus<'_> {
         if !zones.heads.contains(zone) {
-            return Standing::Silent;
+            return ZoneStatus::Silent;
         }
         self.zones
             .get(zone)
-            .map_or(Standing::Open, |route| route.standing(now, settings))
+            .map_or(ZoneStatus::Open, |route| route.status(now, settings))
     }
 
-    /// What a zone lets waiting requests hope for.
-    pub fn hope(&self, zone: &ZoneName, now: Timestamp, settings: &AdmissionSettings) -> Hope {
-        self.zones
-            .get(zone)
-            .map_or(Hope::Unknown, |route| route.hope(now, settings))
+    /// When a zone expects a replica for waiting requests.
+    pub fn availability(
+        &self,
+        zone: &ZoneName,
+        now: Timestamp,
+        settings: &AdmissionSettings,
+    ) -> Availability {
+        self.zones.get(zone).map_or(Availability::Unknown, |route| {
+            route.availability(now, settings)
+        })
     }
 }
--- a/crates/control/src/attempt/budget.rs
+++ b/crates/control/src/attempt/budget.rs
@@ -1,19 +1,20 @@
-//! The retry budget: a token bucket filled by traffic, so that retries stay a share of it and
-//! cannot multiply the load of back ends that are failing.
+//! The retry budget: a token bucket refilled by traffic, so that retries stay a bounded share of it
+//! and cannot multiply the load on failing back ends.
 
 use flaxward_types::Timestamp;
 
-/// One retry, in the bucket's unit of a thousandth of a retry.
-const RETRY: u64 = 1_000;
+/// Bucket units per retry; a unit is a thousandth of a retry.
+const UNITS_PER_RETRY: u64 = 1_000;
 
 /// Size of a retry budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryBudgetSettings {
-    /// Retries earned by a thousand first attempts.
+    /// Retries added per thousand first attempts.
     pub per_thousand: u32,
-    /// Retries earned each second without any traffic, so that a quiet daemon can retry too.
-    pub floor_per_second: u32,
-    /// Retries the bucket holds at most.
+    /// Retries added each second regardless of traffic, so that a daemon with little traffic can
+    /// retry too.
+    pub min_per_second: u32,
+    /// Capacity of the bucket, in retries.
     pub burst: u32,
 }
 
@@ -21,65 +22,66 @@
     fn default() -> Self {
         Self {
             per_thousand: 100,
-            floor_per_second: 3,
+            min_per_second: 3,
             burst: 100,
         }
     }
 }
 
-/// Token bucket of retries. In any span of time the retries granted are at most the burst, plus the
-/// floor times the span, plus the share of the first attempts.
+/// Token bucket of retries. In any interval the retries granted are at most the burst, plus the
+/// minimum rate times the interval, plus the share of the first attempts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RetryBudget {
     settings: RetryBudgetSettings,
-    /// Thousandths of a retry.
+    /// Available tokens, in thousandths of a retry.
     level: u64,
-    /// Up to when the floor has been added.
-    filled: Timestamp,
+    /// Time up to which the minimum rate has been added.
+    refilled_at: Timestamp,
 }
 
 impl RetryBudget {
-    /// A budget that starts with one second's worth of its floor.
+    /// Creates a budget that starts with one second's worth of the minimum rate.
     pub fn new(settings: RetryBudgetSettings, now: Timestamp) -> Self {
         let mut budget = Self {
             settings,
             level: 0,
-            filled: now,
+            refilled_at: now,
         };
-        budget.add(u64::from(settings.floor_per_second) * RETRY);
+        budget.add(u64::from(settings.min_per_second) * UNITS_PER_RETRY);
         budget
     }
 
     /// Counts a first attempt.
     pub fn deposit(&mut self, now: Timestamp) {
-        self.fill(now);
+        self.refill(now);
         self.add(u64::from(self.settings.per_thousand));
     }
 
-    /// Takes one retry, if there is one.
+    /// Takes one retry, if one is available.
     pub fn withdraw(&mut self, now: Timestamp) -> bool {
-        self.fill(now);
-        let Some(rest) = self.level.checked_sub(RETRY) else {
+        self.refill(now);
+        let Some(remaining) = self.level.checked_sub(UNITS_PER_RETRY) else {
             return false;
         };
-        self.level = rest;
+        self.level = remaining;
         true
     }
 
-    /// Whole retries left.
-    pub fn left(&self) -> u64 {
-        self.level / RETRY
+    /// Whole retries available.
+    pub fn available(&self) -> u64 {
+        self.level / UNITS_PER_RETRY
     }
 
-    /// Adds the floor for the time passed. One retry a second is one thousandth a millisecond.
-    fn fill(&mut self, now: Timestamp) {
-        let millis = now.0.saturating_sub(self.filled.0);
-        self.filled = self.filled.max(now);
-        self.add(millis.saturating_mul(u64::from(self.settings.floor_per_second)));
+    /// Adds the minimum rate for the time elapsed. One retry per second equals one thousandth of a
+    /// retry per millisecond.
+    fn refill(&mut self, now: Timestamp) {
+        let millis = now.0.saturating_sub(self.refilled_at.0);
+        self.refilled_at = self.refilled_at.max(now);
+        self.add(millis.saturating_mul(u64::from(self.settings.min_per_second)));
     }
 
     fn add(&mut self, amount: u64) {
-        let most = u64::from(self.settings.burst) * RETRY;
-        self.level = self.level.saturating_add(amount).min(most);
+        let max_level = u64::from(self.settings.burst) * UNITS_PER_RETRY;
+        self.level = self.level.saturating_add(amount).min(max_level);
     }
 }
--- a/crates/control/src/attempt/interface.rs
+++ b/crates/control/src/attempt/interface.rs
@@ -1,15 +1,15 @@
-//! What the machine of a request is told and what it answers.
+//! Inputs, results and settings of the request state machine.
 
 use flaxward_types::{ResultCode, RunnerName, Timestamp};
 
-/// Statuses by which a back end or something before it says that it cannot answer now. A request
-/// that may be repeated is tried elsewhere after them.
+/// Statuses by which a back end, or a proxy in front of it, reports that it is unavailable. A
+/// repeatable request is retried on another back end after them.
 const RETRIED_STATUSES: [u16; 3] = [502, 503, 504];
 
-/// Limits of one request's attempts.
+/// Limits on the attempts of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptSettings {
-    /// Attempts of one request at most, the first included.
+    /// Maximum number of attempts of one request, including the first.
     pub max_attempts: u32,
 }
 
@@ -19,10 +19,10 @@
     }
 }
 
-/// What is known of a request before it is sent.
+/// Properties of a request that are known before it is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestPolicy {
-    /// Whether running it twice does no harm.
+    /// Whether it may safely run more than once.
     pub repeatable: bool,
     /// Whether the caller gave an idempotency key.
     pub has_key: bool,
@@ -37,29 +37,31 @@
     }
 }
 
-/// How an attempt ended, as the driver saw it. A driver in doubt reports the variant that leaves
-/// more open: [`AttemptEnd::BrokenBeforeHead`] rather than [`AttemptEnd::NotSent`].
+/// How an attempt ended, as observed by the driver. In doubt, a driver reports the variant that
+/// asserts less: [`AttemptEnd::BrokenBeforeHead`] rather than [`AttemptEnd::NotSent`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// No byte of the request was sent, such as when the connection was refused.
+    /// No byte of the request was sent, for example because the connection was refused.
     NotSent,
-    /// The back end itself said that it refused before running (`x-flaxward-not-run`).
+    /// The back end reported that it refused the request before running it
+    /// (`x-flaxward-not-run`).
     RefusedBeforeRunning,
-    /// A whole answer with this HTTP status.
+    /// A complete answer with this HTTP status.
     Status(u16),
-    /// The connection broke after a byte may have been sent and before the head of the answer.
+    /// The connection broke after a byte may have been sent and before the head of the answer was
+    /// received.
     BrokenBeforeHead,
-    /// The connection broke in a stream.
+    /// The connection broke during a stream.
     BrokenMidStream {
         /// Index of the first frame that was not delivered.
         next_index: u64,
     },
-    /// The answer ended before its own end: short of its content length, without its terminator,
-    /// or with a gap between frames.
+    /// The answer is incomplete: shorter than its content length, without its terminator, or with a
+    /// gap between frames.
     Truncated,
-    /// The time allowed for this attempt has passed.
+    /// The attempt timed out.
     TimedOut,
-    /// The attempt was given up, because the caller has gone or the daemon stops.
+    /// The attempt was cancelled, because the caller disconnected or the daemon is stopping.
     Cancelled,
 }
 
@@ -74,13 +76,13 @@
         !matches!(self, Self::NotSent)
     }
 
-    /// Whether the back end has run the request to an answer of its own. Such an answer is the caller's; any other end
-    /// may be followed by another attempt.
+    /// Whether the back end ran the request and produced the answer itself. Such an answer is
+    /// passed to the caller; any other end may be followed by another attempt.
     pub fn has_completed(self) -> bool {
         matches!(self, Self::Status(status) if !RETRIED_STATUSES.contains(&status))
     }
 
-    /// The code for a request whose only attempt ended like this.
+    /// The result code of a request whose only attempt ended like this.
     pub(super) fn code(self) -> ResultCode {
         match self {
             Self::NotSent => ResultCode::BackendUnreachable,
@@ -94,31 +96,32 @@
     }
 }
 
-/// What the caller has received of an answer. The order is that of growth.
+/// How much of the answer the caller has received, in increasing order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Delivered {
     /// Nothing of the body.
     Nothing,
-    /// Frames of a stream, up to and without this index.
+    /// Frames of a stream, up to but not including this index.
     Frames(u64),
-    /// Some bytes of a body without frames, which no other attempt can continue.
+    /// Some bytes of a body without frames, which no other attempt can resume.
     Bytes,
 }
 
 /// What to do after an attempt ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Send the request again, under a new attempt id.
-    SendAgain {
+    /// Retry the request under a new attempt id.
+    Retry {
         /// First frame still needed, if the caller already has some.
         resume_from: Option<u64>,
-        /// The machine that failed; to be chosen again only if there is no other.
+        /// The runner that failed; chosen again only if there is no other.
         avoid: RunnerName,
     },
-    /// Tell the caller this. If part of the answer is delivered, it ends in a stated error.
+    /// Return this code to the caller. If part of the answer is delivered, the answer ends with an
+    /// explicit error.
     Finish(ResultCode),
-    /// The whole answer of this attempt is the caller's.
+    /// The answer of this attempt is complete and goes to the caller.
     Done,
-    /// The attempt is not the current one: discard what it brought.
+    /// The attempt is not the current one: discard its answer.
     Stale,
 }
--- a/crates/control/src/attempt/mod.rs
+++ b/crates/control/src/attempt/mod.rs
@@ -1,9 +1,9 @@
-//! The life of one request towards its back ends: which attempt counts, when it is sent again, and
-//! what the caller is told when it is not.
+//! The attempts of one request: which attempt is current, when the request is retried, and which
+//! result the caller gets when it is not.
 //!
-//! Two rules stand above the others. A request that may not be repeated is not sent again once a
-//! byte of it may have reached a back end. And "not run" is said only when it is certain for every
-//! attempt of the request.
+//! Two invariants hold. A request that is not repeatable is not sent again once a byte of it may
+//! have reached a back end. "Not run" is reported only if it is certain for every attempt of the
+//! request.
 
 mod budget;
 mod interface;
--- a/crates/control/src/attempt/request.rs
+++ b/crates/control/src/attempt/request.rs
@@ -1,4 +1,4 @@
-//! The machine of one request.
+//! State machine of one request.
 
 use flaxward_types::{AttemptId, ResultCode, RunnerName, Timestamp};
 
@@ -7,16 +7,16 @@
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Phase {
-    /// No attempt is under way; one may begin.
+    /// No attempt is in progress; one may begin.
     Waiting,
-    /// This attempt is under way.
+    /// This attempt is in progress.
     Sent(AttemptId, RunnerName),
     /// The caller has its answer or refusal.
     Finished,
 }
 
-/// One request's life. The driver calls [`RequestMachine::begin`] before each attempt and
-/// [`RequestMachine::on_end`] after it; attempt ids are never used twice.
+/// State machine of one request and its attempts. The driver calls [`RequestMachine::begin`] before
+/// each attempt and [`RequestMachine::on_end`] after it; attempt ids are never reused.
 #[derive(Clone, Debug)]
 pub struct RequestMachine {
     policy: RequestPolicy,
@@ -31,7 +31,7 @@
 }
 
 impl RequestMachine {
-    /// A request that has not been sent.
+    /// Creates the machine of a request that has not been sent.
     pub fn new(policy: RequestPolicy, settings: AttemptSettings) -> Self {
         Self {
             policy,
@@ -44,11 +44,11 @@
         }
     }
 
-    /// Begins an attempt; only after this may a byte be sent.
+    /// Begins an attempt. No byte of it may be sent before this call succeeds.
     ///
     /// # Errors
     /// The code to refuse the request with: its deadline has passed, or no attempt may begin now
-    /// (a fault of the driver).
+    /// (a bug in the driver).
     pub fn begin(
         &mut self,
         attempt: AttemptId,
@@ -71,14 +71,14 @@
         Ok(())
     }
 
-    /// Notes what the caller has received by now from the current attempt.
-    pub fn note_delivered(&mut self, attempt: AttemptId, delivered: Delivered) {
+    /// Records how much the caller has received so far from the current attempt.
+    pub fn record_delivered(&mut self, attempt: AttemptId, delivered: Delivered) {
         if self.is_current(attempt) {
             self.delivered = self.delivered.max(delivered);
         }
     }
 
-    /// Decides what follows the end of an attempt.
+    /// Decides the next step after the end of an attempt.
     pub fn on_end(
         &mut self,
         attempt: AttemptId,
@@ -91,12 +91,12 @@
             _ => return Step::Stale,
         };
         self.phase = Phase::Finished;
-        self.absorb(end);
-        let refusal = match self.obstacle(end, now) {
+        self.record_end(end);
+        let refusal = match self.refusal_to_retry(end, now) {
             Some(code) => code,
             None if budget.withdraw(now) => {
                 self.phase = Phase::Waiting;
-                return Step::SendAgain {
+                return Step::Retry {
                     resume_from: self.resume_from(),
                     avoid: runner,
                 };
@@ -109,16 +109,16 @@
         Step::Finish(refusal)
     }
 
-    /// Ends a request that waits between attempts, such as when no back end takes it in time, and
-    /// gives the code to tell the caller in place of `code`.
+    /// Ends a request that waits between attempts, for example because no back end accepts it in
+    /// time. Returns the code to report to the caller in place of `code`.
     pub fn give_up(&mut self, code: ResultCode) -> ResultCode {
         let code = self.final_code(code);
         self.phase = Phase::Finished;
         code
     }
 
-    /// The code to tell the caller in place of `code`: never "not run" if any attempt, the current
-    /// one included, may have run.
+    /// The code to report to the caller in place of `code`: never "not run" if any attempt,
+    /// including the current one, may have run.
     pub fn final_code(&self, code: ResultCode) -> ResultCode {
         if !code.not_run() || !self.may_have_run() {
             return code;
@@ -130,22 +130,22 @@
         }
     }
 
-    /// Whether any attempt, the current one included, may have run.
+    /// Whether any attempt, including the current one, may have run.
     pub fn may_have_run(&self) -> bool {
         self.may_have_run || matches!(self.phase, Phase::Sent(..))
     }
 
-    /// Whether what this attempt brings is to be used.
+    /// Whether this attempt is the one in progress, so that its answer is used.
     pub fn is_current(&self, attempt: AttemptId) -> bool {
         matches!(&self.phase, Phase::Sent(current, _) if *current == attempt)
     }
 
-    /// Attempts begun.
+    /// Number of attempts begun.
     pub fn attempts(&self) -> u32 {
         self.attempts
     }
 
-    /// What the caller has received.
+    /// How much of the answer the caller has received.
     pub fn delivered(&self) -> Delivered {
         self.delivered
     }
@@ -158,7 +158,7 @@
         }
     }
 
-    fn absorb(&mut self, end: AttemptEnd) {
+    fn record_end(&mut self, end: AttemptEnd) {
         self.may_have_reached |= end.may_have_reached();
         self.may_have_run |= end.may_have_run();
         if let AttemptEnd::BrokenMidStream { next_index } = end {
@@ -166,19 +166,19 @@
         }
     }
 
-    /// Why the request is not sent again, apart from the budget. For an attempt that was answered
-    /// the code is not shown.
-    fn obstacle(&self, end: AttemptEnd, now: Timestamp) -> Option<ResultCode> {
+    /// Why the request is not retried, apart from the budget. The code is not used if the attempt
+    /// ended with an answer.
+    fn refusal_to_retry(&self, end: AttemptEnd, now: Timestamp) -> Option<ResultCode> {
         if end.has_completed() || end == AttemptEnd::Cancelled {
             return Some(self.final_code(end.code()));
         }
         if now >= self.policy.deadline {
             return Some(self.deadline_code());
         }
-        let forbidden = !self.policy.repeatable && self.may_have_reached;
+        let may_not_repeat = !self.policy.repeatable && self.may_have_reached;
         let cannot_continue = self.delivered == Delivered::Bytes;
         let exhausted = self.attempts >= self.settings.max_attempts;
-        if forbidden || cannot_continue || exhausted {
+        if may_not_repeat || cannot_continue || exhausted {
             return Some(self.final_code(end.code()));
         }
         None
@@ -192,7 +192,8 @@
         }
     }
 
-    /// A request that certainly did not run is better told so than that the budget is spent.
+    /// The code if the budget is spent. A code that states "not run" takes precedence, since it
+    /// tells the caller more.
     fn budget_code(&self, end: AttemptEnd) -> ResultCode {
         let code = self.final_code(end.code());
         if code.not_run() {
--- a/crates/control/src/claims/interface.rs
+++ b/crates/control/src/claims/interface.rs
@@ -1,4 +1,4 @@
-//! What the machine of a claim is told and what it asks for.
+//! Events, actions and settings of the claim state machine.
 
 use std::time::Duration;
 
@@ -8,22 +8,23 @@
 /// Durations and limits of claims.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClaimSettings {
-    /// How long a record is kept after its last change, and so how long a key is remembered.
+    /// How long a record is kept after its last change, and so how long a key is recognised.
     pub lifetime: Duration,
-    /// Time after a request's deadline from which its unfinished claim counts as abandoned. Covers
-    /// the difference between the wall clocks of daemons.
+    /// Time after a request's deadline at which its unfinished claim counts as abandoned. Covers
+    /// the skew between the wall clocks of daemons.
     pub abandon_margin: Duration,
-    /// Longest answer kept for replay, in bytes.
+    /// Maximum size of an answer kept for replay, in bytes.
     pub max_kept_body: usize,
-    /// Writes tried while the caller waits for its claim.
-    pub claim_tries: u32,
-    /// Writes tried to record an outcome; afterwards the claim stays in progress until abandoned.
-    pub settle_tries: u32,
-    /// First pause between tries; doubles with each.
-    pub first_pause: Duration,
-    /// Longest pause between tries.
-    pub longest_pause: Duration,
-    /// When a caller is told to ask again.
+    /// Maximum number of writes of the claim while the caller waits.
+    pub max_claim_writes: u32,
+    /// Maximum number of writes to record an outcome; after that the claim stays in progress until
+    /// it counts as abandoned.
+    pub max_outcome_writes: u32,
+    /// Delay before the first retry of a write; doubles with each further retry.
+    pub initial_backoff: Duration,
+    /// Maximum delay before a retry of a write.
+    pub max_backoff: Duration,
+    /// Retry time given to refused callers.
     pub retry_after: Duration,
 }
 
@@ -33,10 +34,10 @@
             lifetime: Duration::from_hours(24),
             abandon_margin: Duration::from_secs(30),
             max_kept_body: 64 << 10,
-            claim_tries: 3,
-            settle_tries: 100,
-            first_pause: Duration::from_millis(50),
-            longest_pause: Duration::from_secs(10),
+            max_claim_writes: 3,
+            max_outcome_writes: 100,
+            initial_backoff: Duration::from_millis(50),
+            max_backoff: Duration::from_secs(10),
             retry_after: Duration::from_secs(1),
         }
     }
@@ -47,7 +48,7 @@
 pub struct ClaimRequest {
     /// Digest of the request; see [`super::request_digest`].
     pub digest: String,
-    /// The attempt that will send it. Random, never used twice, also by another daemon.
+    /// The attempt that will send it: a random id that is never reused, by any daemon.
     pub attempt: AttemptId,
     /// This daemon.
     pub daemon: DaemonName,
@@ -62,23 +63,24 @@
     pub revision: Revision,
     /// The claim.
     pub claim: Claim,
-    /// Whether its attempt is known not to be in progress: its daemon is known gone, or it is this
-    /// daemon and has no such attempt. A mistake here costs an outcome, never a second run.
+    /// Whether its attempt is known not to be in progress: its daemon is known to be gone, or it is
+    /// this daemon and has no such attempt. If this is wrong, the outcome is lost but the request
+    /// still does not run twice.
     pub holder_gone: bool,
 }
 
-/// Why a write of a claim gave no new version.
+/// Why a write of a claim returned no new version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimFault {
-    /// Not carried out: there is this claim, or the claim has changed to this.
+    /// Not applied: this claim exists, or the claim has changed to this one.
     Present(Box<StoredClaim>),
-    /// Not carried out: the claim to replace is gone.
+    /// Not applied: the claim to replace does not exist.
     Missing,
-    /// Not carried out: there is a record that cannot be read.
+    /// Not applied: a record exists that cannot be decoded.
     Unreadable,
-    /// Certainly not carried out: the store is down or refused.
+    /// Certainly not applied: the store is down or refused the write.
     Unavailable,
-    /// May have been carried out, now or later.
+    /// May have been applied, or may still be applied later.
     Unknown,
 }
 
@@ -91,7 +93,7 @@
     Replace(Revision, Claim),
 }
 
-/// How the request ended for the claim.
+/// How the request ended, as recorded in the claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestEnd {
     /// A whole answer.
@@ -100,12 +102,12 @@
         status: u16,
         /// Content type.
         content_type: String,
-        /// The body, unless it is not text or was not kept.
+        /// The body, if it is text and was kept.
         body: Option<String>,
     },
-    /// It certainly did not run and will not be sent any more.
+    /// It certainly did not run and will not be sent again.
     NotRun(ResultCode),
-    /// Nobody knows whether it ran.
+    /// It may have run.
     Unknown,
 }
 
@@ -124,28 +126,31 @@
 /// What happened.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimEvent {
-    /// The result of the write asked for last.
+    /// The result of the last requested write.
     Written(Result<Revision, ClaimFault>),
-    /// The request ended. Comes once, after [`ClaimAction::Proceed`].
+    /// The request ended. Sent once, after [`ClaimAction::Proceed`].
     Ended(RequestEnd),
-    /// The caller has gone, the deadline has passed or the daemon stops, and the request has not
-    /// been sent: refuse it with this code. Without effect after [`ClaimAction::Proceed`].
+    /// The caller disconnected, the deadline passed or the daemon is stopping before the request
+    /// was sent: refuse it with this code. No effect after [`ClaimAction::Proceed`].
     GiveUp(ResultCode),
 }
 
-/// What to do. The caller gets exactly one of `Proceed`, `Replay` and `Refuse`; writes may follow.
+/// What to do. There is exactly one of `Proceed`, `Replay` and `Refuse` per caller; writes may
+/// follow.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimAction {
-    /// Write to the store after a pause; answered by [`ClaimEvent::Written`]. One at a time.
+    /// Write to the store after a delay; the result is sent as [`ClaimEvent::Written`]. Only one
+    /// write is outstanding at a time.
     Write {
-        /// Pause before the write.
+        /// Delay before the write.
         after: Duration,
         /// The write.
         write: ClaimWrite,
     },
-    /// The claim is recorded: the request may be sent, by this attempt's request machine.
+    /// The claim is recorded: the request may now be sent, through this attempt's
+    /// [`crate::attempt::RequestMachine`].
     Proceed,
-    /// Give the caller the recorded answer.
+    /// Return the recorded answer to the caller.
     Replay {
         /// HTTP status.
         status: u16,
@@ -154,8 +159,9 @@
         /// Body.
         body: String,
     },
-    /// Refuse. "Not run" is said of this request; one sent earlier with the same key may have run.
+    /// Refuse the request. "Not run" refers to this request only; an earlier one with the same key
+    /// may have run.
     Refuse(Refusal),
-    /// Nothing more to do; the machine may be dropped.
+    /// Done; the machine may be dropped.
     Close,
 }
--- a/crates/control/src/claims/machine.rs
+++ b/crates/control/src/claims/machine.rs
@@ -1,4 +1,4 @@
-//! The machine of one claim: before, during and after its request.
+//! State machine of one claim: before, during and after its request.
 
 use std::time::Duration;
 
@@ -11,44 +11,44 @@
 };
 use super::removal::RemovalGroup;
 
-/// What the caller reads beside [`ResultCode::ClaimNotRecorded`].
+/// Detail text of refusals with [`ResultCode::ClaimNotRecorded`].
 const NOT_RECORDED: &str = "the key could not be recorded, so this request was not run; an earlier \
     one with the same key may have run: repeat it with the same key";
 
-/// How far the claim is. In `Claiming`, `Marking` and `Settling` one write is outstanding.
+/// Phase of the claim. In `Claiming`, `Marking` and `Settling` one write is outstanding.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Phase {
     /// The claim is being written; the caller waits.
     Claiming {
         /// The write outstanding.
         write: ClaimWrite,
-        /// Whether an earlier write of the claim may have been carried out.
+        /// Whether an earlier write of the claim may have been applied.
         uncertain: bool,
     },
-    /// The claim of another daemon that is gone is being marked unknown; the caller waits.
+    /// Another daemon's abandoned claim is being marked as unknown; the caller waits.
     Marking,
-    /// The request may be running, under the claim at this version.
+    /// The request may be running; the claim has this version.
     Running(Revision),
-    /// The caller has its answer; the outcome is being written.
+    /// The caller has its answer; the outcome is being recorded.
     Settling(ClaimWrite),
-    /// Nothing more to do.
+    /// Done.
     Closed,
 }
 
-/// Takes a claim, guards its request, and records what became of it.
+/// Creates the claim, allows its request to be sent, and records the outcome.
 #[derive(Clone, Debug)]
 pub struct ClaimMachine {
     settings: ClaimSettings,
     request: ClaimRequest,
     phase: Phase,
-    /// Writes tried in this phase.
-    tries: u32,
-    /// The code the request was given up with while the caller waited.
+    /// Writes attempted in this phase.
+    writes: u32,
+    /// The code with which the request was given up while the caller waited.
     given_up: Option<ResultCode>,
 }
 
 impl ClaimMachine {
-    /// A machine and its first write.
+    /// Creates a machine and returns it with its first write.
     pub fn start(
         settings: ClaimSettings,
         request: ClaimRequest,
@@ -58,7 +58,7 @@
             settings,
             request,
             phase: Phase::Closed,
-            tries: 0,
+            writes: 0,
             given_up: None,
         };
         let create = ClaimWrite::Create(machine.claim(ClaimOutcome::InProgress, now_unix));
@@ -66,7 +66,7 @@
         (machine, action)
     }
 
-    /// Takes an event and says what to do.
+    /// Applies an event and returns the actions to carry out.
     pub fn handle(&mut self, event: ClaimEvent, now_unix: u64) -> Vec<ClaimAction> {
         match event {
             ClaimEvent::Written(result) => self.on_written(result, now_unix),
@@ -75,12 +75,12 @@
         }
     }
 
-    /// Whether nothing more is to do.
+    /// Whether the machine is done and may be dropped.
     pub fn is_closed(&self) -> bool {
         self.phase == Phase::Closed
     }
 
-    /// Whether the request may be running, by this machine's leave.
+    /// Whether this machine has allowed the request to be sent and no end has been reported.
     pub fn is_running(&self) -> bool {
         matches!(self.phase, Phase::Running(_))
     }
@@ -109,19 +109,19 @@
     ) -> Vec<ClaimAction> {
         match result {
             Ok(revision) => self.on_claimed(revision, now_unix),
-            Err(ClaimFault::Present(stored)) => self.judge(&stored, now_unix),
+            Err(ClaimFault::Present(stored)) => self.on_existing_claim(&stored, now_unix),
             Err(ClaimFault::Missing) => {
                 let create = ClaimWrite::Create(self.claim(ClaimOutcome::InProgress, now_unix));
-                self.claim_again(create, uncertain, now_unix)
+                self.retry_claim(create, uncertain, now_unix)
             }
             Err(ClaimFault::Unreadable) => self.refuse(ResultCode::KeyOutcomeUnknown),
             Err(ClaimFault::Unavailable) if uncertain => self.release(&write, now_unix),
             Err(ClaimFault::Unavailable) => self.refuse(ResultCode::ClaimNotRecorded),
-            Err(ClaimFault::Unknown) => self.claim_again(write, true, now_unix),
+            Err(ClaimFault::Unknown) => self.retry_claim(write, true, now_unix),
         }
     }
 
-    /// The claim is ours, at this version.
+    /// This attempt holds the claim, at this version.
     fn on_claimed(&mut self, revision: Revision, now_unix: u64) -> Vec<ClaimAction> {
         if self.given_up.is_some() {
             let outcome = ClaimOutcome::NotRun(self.refusal_code());
@@ -131,19 +131,20 @@
         vec![ClaimAction::Proceed]
     }
 
-    /// There is a claim under the key.
-    fn judge(&mut self, stored: &StoredClaim, now_unix: u64) -> Vec<ClaimAction> {
+    /// A claim exists under the key.
+    fn on_existing_claim(&mut self, stored: &StoredClaim, now_unix: u64) -> Vec<ClaimAction> {
         let claim = &stored.claim;
         if claim.attempt == self.request.attempt {
-            // A write whose answer was lost has been carried out. The request has not been sent,
-            // even if a daemon that took this one for gone has marked the claim since.
+            // An earlier write was applied and its answer was lost. The request has not been sent
+            // yet, even if another daemon has since marked the claim because it took this
+            // daemon for gone.
             return self.on_claimed(stored.revision, now_unix);
         }
         if claim.request_digest != self.request.digest {
             return self.refuse(ResultCode::KeyReused);
         }
         match &claim.outcome {
-            ClaimOutcome::InProgress => self.judge_in_progress(stored, now_unix),
+            ClaimOutcome::InProgress => self.on_claim_in_progress(stored, now_unix),
             ClaimOutcome::Answered {
                 status,
                 content_type,
@@ -163,15 +164,16 @@
             ClaimOutcome::NotRun(_) => {
                 let claim = self.claim(ClaimOutcome::InProgress, now_unix);
                 let replace = ClaimWrite::Replace(stored.revision, claim);
-                // Whatever was tried before is void: the record has another version by now.
-                self.claim_again(replace, false, now_unix)
+                // Earlier writes can no longer be applied, since the record has another version.
+                self.retry_claim(replace, false, now_unix)
             }
             ClaimOutcome::Unknown => self.refuse(ResultCode::KeyOutcomeUnknown),
         }
     }
 
-    /// The request may be running elsewhere, or its daemon died. It is not run here in either case.
-    fn judge_in_progress(&mut self, stored: &StoredClaim, now_unix: u64) -> Vec<ClaimAction> {
+    /// The request may be running on another daemon, or that daemon crashed. It is not run here in
+    /// either case.
+    fn on_claim_in_progress(&mut self, stored: &StoredClaim, now_unix: u64) -> Vec<ClaimAction> {
         if !stored.holder_gone && now_unix < stored.claim.abandoned_unix {
             return self.refuse(ResultCode::KeyInProgress);
         }
@@ -189,8 +191,8 @@
         }]
     }
 
-    /// Whether the mark was written or not, the outcome is unknown; unless the holder has just
-    /// recorded it, so that it is not gone after all.
+    /// The outcome is unknown whether or not the mark was written, unless the holder has recorded
+    /// the outcome in the meantime and so is still running.
     fn on_marked(
         &mut self,
         result: Result<Revision, ClaimFault>,
@@ -200,20 +202,20 @@
             Err(ClaimFault::Present(stored))
                 if stored.claim.outcome != ClaimOutcome::InProgress =>
             {
-                self.judge(&stored, now_unix)
+                self.on_existing_claim(&stored, now_unix)
             }
             _ => self.refuse(ResultCode::KeyOutcomeUnknown),
         }
     }
 
-    /// Writes the claim again, or refuses when it was tried often enough.
-    fn claim_again(
+    /// Retries the write of the claim, or refuses once the limit is reached.
+    fn retry_claim(
         &mut self,
         write: ClaimWrite,
         uncertain: bool,
         now_unix: u64,
     ) -> Vec<ClaimAction> {
-        if self.tries < self.settings.claim_tries && self.given_up.is_none() {
+        if self.writes < self.settings.max_claim_writes && self.given_up.is_none() {
             return vec![self.write_claim(write, uncertain)];
         }
         if uncertain {
@@ -222,9 +224,9 @@
         self.refuse(ResultCode::ClaimNotRecorded)
     }
 
-    /// Refuses, and makes sure that a claim which may have been written does not block the key.
-    /// Writing "not run" in the same way as the claim works in each case: if the claim was not
-    /// written, it also keeps a write still on its way from being carried out later.
+    /// Refuses, and ensures that a claim which may have been written does not block the key.
+    /// Writing "not run" under the same condition as the claim is correct in either case: if the
+    /// claim was not written, this also prevents a write in flight from being applied later.
     fn release(&mut self, write: &ClaimWrite, now_unix: u64) -> Vec<ClaimAction> {
         let mut actions = self.reply_refusal(ResultCode::ClaimNotRecorded);
         let expected = match write {
@@ -254,28 +256,28 @@
         match result {
             Ok(_) | Err(ClaimFault::Missing | ClaimFault::Unreadable) => self.close(),
             Err(ClaimFault::Present(stored)) => {
-                let own = stored.claim.attempt == self.request.attempt;
-                if !own || stored.claim.outcome == wanted.outcome {
+                let is_own = stored.claim.attempt == self.request.attempt;
+                if !is_own || stored.claim.outcome == wanted.outcome {
                     return self.close();
                 }
                 let outcome = wanted.outcome.clone();
                 let replace = ClaimWrite::Replace(stored.revision, self.claim(outcome, now_unix));
-                self.settle_again(replace)
+                self.retry_outcome(replace)
             }
-            Err(ClaimFault::Unavailable | ClaimFault::Unknown) => self.settle_again(write),
+            Err(ClaimFault::Unavailable | ClaimFault::Unknown) => self.retry_outcome(write),
         }
     }
 
-    fn settle_again(&mut self, write: ClaimWrite) -> Vec<ClaimAction> {
-        if self.tries >= self.settings.settle_tries {
+    fn retry_outcome(&mut self, write: ClaimWrite) -> Vec<ClaimAction> {
+        if self.writes >= self.settings.max_outcome_writes {
             return self.close();
         }
         vec![self.write_outcome(write)]
     }
 
     fn on_give_up(&mut self, code: ResultCode) -> Vec<ClaimAction> {
-        let waits = matches!(self.phase, Phase::Claiming { .. } | Phase::Marking);
-        if !waits || self.given_up.is_some() {
+        let is_waiting = matches!(self.phase, Phase::Claiming { .. } | Phase::Marking);
+        if !is_waiting || self.given_up.is_some() {
             return Vec::new();
         }
         let actions = self.reply_refusal(code);
@@ -283,14 +285,14 @@
         actions
     }
 
-    /// Begins to write an outcome: over this version, or where there is no record.
+    /// Starts to record an outcome, replacing this version or creating the record.
     fn settle(
         &mut self,
         expected: Option<Revision>,
         outcome: ClaimOutcome,
         now_unix: u64,
     ) -> ClaimAction {
-        self.tries = 0;
+        self.writes = 0;
         let claim = self.claim(outcome, now_unix);
         self.write_outcome(match expected {
             Some(revision) => ClaimWrite::Replace(revision, claim),
@@ -311,17 +313,17 @@
         self.write(write)
     }
 
-    /// The first write of a phase goes out at once, later ones after a growing pause.
+    /// The first write of a phase is sent at once, retries with exponential backoff.
     fn write(&mut self, write: ClaimWrite) -> ClaimAction {
-        let after = match self.tries.checked_sub(1) {
+        let after = match self.writes.checked_sub(1) {
             None => Duration::ZERO,
             Some(doublings) => self
                 .settings
-                .first_pause
+                .initial_backoff
                 .saturating_mul(1_u32.checked_shl(doublings).unwrap_or(u32::MAX))
-                .min(self.settings.longest_pause),
+                .min(self.settings.max_backoff),
         };
-        self.tries += 1;
+        self.writes += 1;
         ClaimAction::Write { after, write }
     }
 
@@ -331,7 +333,7 @@
         actions
     }
 
-    /// The refusal, unless the caller was refused when the request was given up.
+    /// The refusal, unless the caller was already refused when the request was given up.
     fn reply_refusal(&self, code: ResultCode) -> Vec<ClaimAction> {
         if self.given_up.is_some() {
             return Vec::new();
@@ -347,7 +349,7 @@
         vec![ClaimAction::Refuse(refusal)]
     }
 
-    /// Replies and closes.
+    /// Replies to the caller, unless it was already refused, and closes.
     fn reply(&mut self, reply: ClaimAction) -> Vec<ClaimAction> {
         let mut actions = Vec::new();
         if self.given_up.is_none() {
@@ -400,7 +402,8 @@
         self.request.deadline_unix.saturating_add(margin)
     }
 
-    /// A record outlives its request, whatever the deadline.
+    /// A record is kept for its lifetime after the request can no longer run, however late the
+    /// deadline.
     fn expiry(&self, now_unix: u64) -> u64 {
         now_unix
             .max(self.abandoned_unix())
--- a/crates/control/src/claims/mod.rs
+++ b/crates/control/src/claims/mod.rs
@@ -1,17 +1,17 @@
-//! Claims: how a request that may not be repeated runs at most once, whichever daemons its caller
-//! sends it to.
+//! Claims ensure that a non-repeatable request with an idempotency key runs at most once, whichever
+//! daemons its caller sends it to.
 //!
 //! A claim is a record in the object API under the caller's idempotency key. It is created before
-//! the request is sent and holds the outcome afterwards. Creating is the one step at which daemons
-//! race, and the store lets one of them win. A claim is never taken from another daemon, dead or
-//! not, unless the record itself says that the request did not run.
+//! the request is sent and holds the outcome afterwards. Daemons race only to create it, and the
+//! store lets exactly one of them succeed. A claim is never taken over from another daemon, whether
+//! crashed or not, unless the record states that the request did not run.
 
 mod identity;
 mod interface;
 mod machine;
 mod removal;
 
-pub use identity::{claim_name, expired, request_digest};
+pub use identity::{claim_name, is_expired, request_digest};
 pub use interface::{
     ClaimAction, ClaimEvent, ClaimFault, ClaimRequest, ClaimSettings, ClaimWrite, RequestEnd,
     StoredClaim,
@@ -19,5 +19,5 @@
 pub use machine::ClaimMachine;
 pub use removal::{
     FoundClaim, REMOVAL_GROUP_FIELD, Removal, RemovalAction, RemovalGroup, RemovalSettings, SHARDS,
-    Unavailable, shards_of,
+    Unavailable, shards_for_zone,
 };
--- a/crates/control/src/claims/removal.rs
+++ b/crates/control/src/claims/removal.rs
@@ -1,9 +1,10 @@
-//! Which expired claims are removed from the object API, and when.
+//! Removal of expired claims from the object API.
 //!
-//! A claim names the group it is removed with: the hour in which it expires and a shard. Once the hour
-//! is over, the coordinator of the zone that the shard belongs to selects the group and removes what
-//! it finds, each claim by the version that it read. So nothing is read but what is to be removed, and
-//! a claim that was changed meanwhile stays. Two daemons that remove at the same time do no harm.
+//! A claim belongs to a removal group: the hour in which it expires and a shard. Once the hour is
+//! over, the coordinator of the zone that owns the shard selects the group and removes its claims,
+//! each on condition that it still has the version read. So only claims due for removal are read, a
+//! claim that changed in the meantime is kept, and daemons that remove concurrently do not
+//! interfere.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -12,18 +13,19 @@
 use flaxward_types::records::Claim;
 use flaxward_types::{AttemptId, Revision, ZoneName};
 
-use super::identity::expired;
+use super::identity::is_expired;
 
-/// Shards that the claims of an hour are spread over, and so the most zones that can share the work.
+/// Shards that the claims of an hour are spread over; also the maximum number of zones that can
+/// share the work.
 pub const SHARDS: u32 = 32;
 
-/// Seconds of an hour.
+/// Seconds per hour.
 const HOUR: u64 = 3_600;
 
-/// Name of the field of a claim that holds its group.
+/// Name of the claim field that holds the removal group.
 pub const REMOVAL_GROUP_FIELD: &str = "removal_group";
 
-/// Claims that expire in the same hour and belong to the same shard.
+/// The claims that expire in the same hour and belong to the same shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RemovalGroup {
     /// Hours since the epoch.
@@ -32,7 +34,7 @@
 }
 
 impl RemovalGroup {
-    /// The group of a claim that expires at this second and is held by this attempt.
+    /// The group of a claim held by `attempt` that expires at `expires_unix`.
     pub fn of(expires_unix: u64, attempt: AttemptId) -> Self {
         let shard = attempt.0 % u128::from(SHARDS);
         Self {
@@ -48,32 +50,33 @@
     }
 }
 
-/// The shards whose claims the coordinator of a zone removes.
-pub fn shards_of(zone: &ZoneName, zones: &[ZoneName]) -> Vec<u32> {
+/// The shards whose claims are removed by the coordinator of `zone`.
+pub fn shards_for_zone(zone: &ZoneName, zones: &[ZoneName]) -> Vec<u32> {
     let mut sorted: Vec<&ZoneName> = zones.iter().collect();
     sorted.sort();
-    let share = |shard: &u32| {
-        let place = usize::try_from(*shard).unwrap_or_default() % sorted.len().max(1);
-        sorted.get(place) == Some(&zone)
+    let is_owned = |shard: &u32| {
+        let index = usize::try_from(*shard).unwrap_or_default() % sorted.len().max(1);
+        sorted.get(index) == Some(&zone)
     };
-    (0..SHARDS).filter(share).collect()
+    (0..SHARDS).filter(is_owned).collect()
 }
 
 /// Durations and limits of the removal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RemovalSettings {
-    /// Calls to the object API in a second, at most.
+    /// Maximum rate of calls to the object API.
     pub calls_per_second: u32,
-    /// Time after its expiry for which a claim is left alone. Covers the difference between the wall
+    /// Time after its expiry during which a claim is not removed. Covers the skew between the wall
     /// clocks of daemons.
     pub clock_margin: Duration,
-    /// Claims selected with one call, at most.
+    /// Maximum number of claims selected with one call.
     pub batch: u32,
-    /// Hours looked back at in each pass; what a longer outage left behind stays.
+    /// Hours covered by each pass. Claims left behind by an outage of the removal longer than this
+    /// are never removed.
     pub hours_back: u64,
     /// Time between passes.
     pub interval: Duration,
-    /// Time until the next pass if the object API does not answer.
+    /// Time until the next pass if the object API is unavailable.
     pub retry: Duration,
 }
 
@@ -90,12 +93,12 @@
     }
 }
 
-/// A claim as selected.
+/// A selected claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FoundClaim {
-    /// Its name.
+    /// Name in the object API.
     pub name: String,
-    /// Its version.
+    /// Version read.
     pub version: Revision,
     /// The claim.
     pub claim: Claim,
@@ -104,11 +107,12 @@
 /// What to do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RemovalAction {
-    /// Nothing for so long.
-    Rest(Duration),
-    /// Select the claims of this group, as many as the batch; answered by [`Removal::selected`].
+    /// Wait this long.
+    Wait(Duration),
+    /// Select up to [`RemovalSettings::batch`] claims of this group; the result goes to
+    /// [`Removal::selected`].
     Select(RemovalGroup),
-    /// Remove the claim if it still has this version; answered by [`Removal::removed`].
+    /// Remove the claim if it still has this version; the result goes to [`Removal::removed`].
     Remove {
         /// Name of the claim.
         name: String,
@@ -117,26 +121,26 @@
     },
 }
 
-/// The object API does not answer.
+/// The object API is unavailable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Unavailable;
 
-/// Removes the expired claims of some shards, pass after pass.
+/// Removes the expired claims of some shards in periodic passes.
 #[derive(Clone, Debug)]
 pub struct Removal {
     settings: RemovalSettings,
     shards: Vec<u32>,
-    /// Groups of this pass still to be selected.
+    /// Groups of this pass that are not selected yet.
     groups: VecDeque<RemovalGroup>,
-    /// Claims selected and not yet looked at.
+    /// Selected claims that are not processed yet.
     found: VecDeque<FoundClaim>,
-    /// The group whose claims were found, if it may hold more than were selected.
+    /// The group selected last, if it may hold more claims than were selected.
     unfinished: Option<RemovalGroup>,
     next_pass_unix: u64,
 }
 
 impl Removal {
-    /// A removal whose first pass is due at once.
+    /// Creates a removal whose first pass is due immediately.
     pub fn new(settings: RemovalSettings, shards: Vec<u32>) -> Self {
         Self {
             settings,
@@ -148,12 +152,12 @@
         }
     }
 
-    /// What to do next, at this second.
+    /// The next action at this time.
     pub fn next(&mut self, now_unix: u64) -> RemovalAction {
-        // Behind by the margin, so that a fast clock removes nothing early.
+        // Reduced by the margin, so that a daemon with a fast clock removes no claim early.
         let safe_unix = now_unix.saturating_sub(self.settings.clock_margin.as_secs());
         while let Some(found) = self.found.pop_front() {
-            if expired(&found.claim, safe_unix) {
+            if is_expired(&found.claim, safe_unix) {
                 return RemovalAction::Remove {
                     name: found.name,
                     version: found.version,
@@ -162,20 +166,20 @@
         }
         if self.groups.is_empty() {
             if now_unix < self.next_pass_unix {
-                return RemovalAction::Rest(Duration::from_secs(self.next_pass_unix - now_unix));
+                return RemovalAction::Wait(Duration::from_secs(self.next_pass_unix - now_unix));
             }
             self.begin_pass(safe_unix, now_unix);
         }
         match self.groups.front() {
             Some(group) => RemovalAction::Select(*group),
-            None => RemovalAction::Rest(self.settings.interval),
+            None => RemovalAction::Wait(self.settings.interval),
         }
     }
 
-    /// Takes the claims of the group selected last.
+    /// Applies the result of the last selection.
     pub fn selected(&mut self, result: Result<Vec<FoundClaim>, Unavailable>, now_unix: u64) {
         let Ok(claims) = result else {
-            self.break_off(now_unix);
+            self.abort_pass(now_unix);
             return;
         };
         let group = self.groups.pop_front();
@@ -184,20 +188,23 @@
         self.found = claims.into();
     }
 
-    /// Takes the result of a removal: whether the claim is gone, or has changed and so stays.
+    /// Applies the result of a removal: `true` if the claim is removed, `false` if it has changed
+    /// and is kept.
     pub fn removed(&mut self, result: Result<bool, Unavailable>, now_unix: u64) {
         match result {
             Ok(true) => {
-                // The next selection shows others. Where nothing can be removed, it would not.
+                // Selecting again returns other claims. If none could be removed, it would return
+                // the same ones, so the group is selected again only after a removal.
                 let unfinished = self.unfinished.take();
                 self.groups.extend(unfinished);
             }
             Ok(false) => {}
-            Err(Unavailable) => self.break_off(now_unix),
+            Err(Unavailable) => self.abort_pass(now_unix),
         }
     }
 
-    /// Begins with the oldest hour; the last one is over for every claim of it.
+    /// Starts a pass from the oldest hour. The last hour of the pass is over on every daemon's
+    /// clock.
     fn begin_pass(&mut self, safe_unix: u64, now_unix: u64) {
         let end = safe_unix / HOUR;
         let start = end.saturating_sub(self.settings.hours_back);
@@ -211,7 +218,7 @@
         self.next_pass_unix = now_unix + self.settings.interval.as_secs();
     }
 
-    fn break_off(&mut self, now_unix: u64) {
+    fn abort_pass(&mut self, now_unix: u64) {
         self.groups.clear();
         self.found.clear();
         self.unfinished = None;
--- a/crates/control/tests/admission/cases.rs
+++ b/crates/control/tests/admission/cases.rs
@@ -1,4 +1,4 @@
-//! Named cases: what happens, and what admission does at once.
+//! Individual cases: sequences of events and the actions that each one must cause.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use flaxward_types::routing::{HeldAnswers, Outlook, Replica, RouteAnswer};
 use flaxward_types::{ResultCode, RunnerName, Term, Timestamp, ZoneName};
 
-/// One step: at this time (ms), this event, these actions.
+/// Time in milliseconds, event, expected actions.
 type Step = (u64, AdmissionEvent, &'static [&'static str]);
 
 fn arrive(request: u64, priority: u8, deadline_ms: u64) -> AdmissionEvent {
@@ -68,7 +68,8 @@
     }
 }
 
-/// An action in a few words. Of a demand: waiting, running, arrivals, time left.
+/// Short text of an action. For a demand: zone, waiting, running, arrivals, time to the earliest
+/// deadline.
 fn describe(action: &AdmissionAction) -> String {
     match action {
         AdmissionAction::Dispatch {
@@ -105,7 +106,7 @@
 use AdmissionEvent::Tick;
 
 #[test]
-fn one_demand_speaks_for_all_who_wait() {
+fn one_demand_reports_all_waiting_requests() {
     check(
         "a burst",
         vec![
@@ -119,14 +120,14 @@
                 route("a", 2, &["r1"], Outlook::Ready),
                 &["send 1 to r1", "send 0 to r1"],
             ),
-            // The coordinator still believes that two wait.
+            // The last demand reported two waiting requests, so the coordinator must be updated.
             (2_950, Tick, &[]),
             (3_000, Tick, &["ask a 0 2 0 none"]),
             (4_950, Tick, &[]),
             (5_000, Tick, &["ask a 0 2 0 none"]),
             (5_100, AdmissionEvent::Finished(RequestId(0)), &[]),
             (5_100, AdmissionEvent::Finished(RequestId(1)), &[]),
-            // Renewals are rare, so the coordinator is told at once that nothing runs any more.
+            // Renewals are rare, so a demand that reports no running requests is sent early.
             (7_000, Tick, &["ask a 0 0 0 none"]),
             (
                 9_500,
@@ -136,14 +137,14 @@
             (9_600, arrive(3, 5, 61_000), &["send 3 to r1"]),
             (9_700, AdmissionEvent::CallerGone(RequestId(2)), &[]),
             (9_700, AdmissionEvent::CallerGone(RequestId(3)), &[]),
-            // An arrival that came and went between two demands is told all the same.
+            // An arrival whose request ended between two demands is still reported.
             (11_500, Tick, &["ask a 0 0 1 none"]),
         ],
     );
 }
 
 #[test]
-fn what_cannot_be_in_time_is_refused_at_once_and_its_demand_kept_up() {
+fn a_request_that_cannot_be_served_in_time_is_refused_at_once_and_its_demand_is_kept_up() {
     check(
         "an estimate past a deadline",
         vec![
@@ -156,7 +157,7 @@
             ),
             (2, arrive(2, 9, 9_000), &["refuse 2 2001 19999"]),
             (3, AdmissionEvent::CallerGone(RequestId(1)), &[]),
-            // Nobody waits, but two callers were told to come back.
+            // No request waits, but two refused callers are expected to retry.
             (1_000, Tick, &["ask a 1 0 2 24001"]),
             (1_001, route("a", 2, &[], loading(19_000)), &[]),
             (2_000, Tick, &["ask a 1 0 0 23001"]),
@@ -167,7 +168,7 @@
 }
 
 #[test]
-fn a_refusal_of_the_coordinator_reaches_all_at_once_and_wears_off() {
+fn a_refusal_of_the_coordinator_applies_to_all_waiting_requests_and_expires() {
     let refused = || Outlook::Refused {
         code: ResultCode::NoMemory,
         retry_after_ms: 4_000,
@@ -194,7 +195,7 @@
 }
 
 #[test]
-fn a_silent_zone_is_passed_over_and_silence_everywhere_refuses() {
+fn a_silent_zone_is_skipped_and_requests_are_refused_if_all_zones_are_silent() {
     check(
         "the own zone is silent, the next answers",
         vec![
@@ -204,7 +205,8 @@
             (
                 1_001,
                 route("b", 1, &["r2"], Outlook::Ready),
-                // The own zone is told, should it have heard of the request after all.
+                // The own zone gets a demand without waiting requests, since it may have received
+                // the first one after all.
                 &["send 0 to r2", "ask a 0 0 0 none"],
             ),
             (2_000, Tick, &["ask b 0 1 0 none"]),
@@ -215,7 +217,7 @@
         ],
     );
     check(
-        "all are silent",
+        "all zones are silent",
         vec![
             (0, arrive(0, 5, 60_000), &["ask a 1 0 1 60000"]),
             (1_000, Tick, &["ask b 1 0 0 59000"]),
@@ -237,9 +239,9 @@
 }
 
 #[test]
-fn a_zone_that_sends_elsewhere_is_obeyed() {
+fn referrals_to_other_zones_are_followed() {
     check(
-        "elsewhere",
+        "referrals",
         vec![
             (0, arrive(0, 5, 60_000), &["ask a 1 0 1 60000"]),
             (
@@ -256,7 +258,7 @@
         ],
     );
     check(
-        "in a circle",
+        "circular referrals",
         vec![
             (0, arrive(0, 5, 60_000), &["ask a 1 0 1 60000"]),
             (
@@ -277,7 +279,7 @@
 }
 
 #[test]
-fn at_the_bound_the_lowest_priority_with_the_latest_deadline_goes() {
+fn a_full_queue_drops_the_lowest_priority_with_the_latest_deadline() {
     check(
         "a full queue",
         vec![
@@ -293,7 +295,7 @@
 }
 
 #[test]
-fn runners_that_leave_refuse_or_cannot_be_reached_are_avoided() {
+fn leaving_refusing_and_unreachable_runners_are_avoided() {
     check(
         "returns",
         vec![
@@ -323,7 +325,7 @@
 }
 
 #[test]
-fn a_replica_that_comes_after_the_deadline_comes_too_late() {
+fn a_request_past_its_deadline_is_refused_when_a_replica_becomes_ready() {
     check(
         "between two ticks",
         vec![
@@ -338,8 +340,8 @@
 }
 
 #[test]
-fn demand_that_has_not_changed_is_renewed_rarely_and_along_with_another() {
-    let held = |sequence| {
+fn unchanged_demand_is_renewed_rarely_and_together_with_other_demands() {
+    let confirmed = |sequence| {
         AdmissionEvent::RoutesHeld(HeldAnswers {
             zone: ZoneName::literal("a"),
             term: Term(1),
@@ -352,22 +354,22 @@
             (0, arrive(0, 5, 60_000), &["ask a 1 0 1 60000"]),
             (1, route("a", 1, &["r1"], Outlook::Ready), &["send 0 to r1"]),
             (2_000, Tick, &["ask a 0 1 0 none"]),
-            // Not answered: asked again soon.
+            // Not answered, so it is sent again soon.
             (3_950, Tick, &[]),
             (4_000, Tick, &["ask a 0 1 0 none"]),
-            (4_001, held(1), &[]),
+            (4_001, confirmed(1), &[]),
             (23_950, Tick, &[]),
             (24_000, Tick, &["ask a 0 1 0 none"]),
-            // The word is about another answer.
-            (24_001, held(2), &[]),
+            // The confirmation is for another answer.
+            (24_001, confirmed(2), &[]),
             (26_000, Tick, &["ask a 0 1 0 none"]),
-            (26_001, held(1), &[]),
+            (26_001, confirmed(1), &[]),
             (
                 30_000,
                 arrive(1, 5, 90_000),
                 &["send 1 to r1", "ask a 0 2 1 none"],
             ),
-            (30_001, held(1), &[]),
+            (30_001, confirmed(1), &[]),
             (32_000, arrive(2, 5, 90_000), &["send 2 to r1"]),
             (49_950, Tick, &[]),
             (50_000, Tick, &["ask a 0 3 1 none"]),
--- a/crates/control/tests/admission/main.rs
+++ b/crates/control/tests/admission/main.rs
@@ -1,4 +1,4 @@
-//! Admission: properties against a model, and named cases.
+//! Tests of admission control: properties against a model, and individual cases.
 
 mod cases;
 mod model;
--- a/crates/control/tests/admission/model.rs
+++ b/crates/control/tests/admission/model.rs
@@ -1,5 +1,6 @@
-//! Properties of admission, against a model of what is known from outside: random arrivals, answers
-//! of coordinators, returns, leavings and losses, in virtual time.
+//! Property tests of admission control against a model of its externally visible state: random
+//! arrivals, answers of coordinators, returned requests, disconnecting callers and leaving runners,
+//! in virtual time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -41,7 +42,7 @@
     ["turbine@v1", "gearbox@v1"][index].parse().unwrap()
 }
 
-/// Runner names are unique over all zones.
+/// Runner names are unique across zones.
 fn replica(zone: usize, index: usize) -> Replica {
     Replica {
         runner: RunnerName::literal(&format!("r{zone}{index}")),
@@ -71,7 +72,7 @@
         nth: usize,
         fault: BackEndFault,
     },
-    Leave {
+    Disconnect {
         nth: usize,
     },
     Heads(BTreeSet<usize>),
@@ -112,14 +113,14 @@
             }),
         2 => (0_usize..8).prop_map(|nth| Input::Finish { nth }),
         2 => (0_usize..8, fault).prop_map(|(nth, fault)| Input::Return { nth, fault }),
-        1 => (0_usize..8).prop_map(|nth| Input::Leave { nth }),
+        1 => (0_usize..8).prop_map(|nth| Input::Disconnect { nth }),
         1 => prop::collection::btree_set(0_usize..3, 0..4).prop_map(Input::Heads),
         1 => prop::collection::btree_set((0_usize..3, 0_usize..3), 0..5).prop_map(Input::Leaving),
         4 => (0_u64..2_500).prop_map(|ms| Input::Wait { ms }),
     ]
 }
 
-/// A request as known from outside.
+/// An open request, as visible from outside.
 #[derive(Clone)]
 struct Open {
     arrival: Arrival,
@@ -127,7 +128,7 @@
     avoided: BTreeMap<RunnerName, Timestamp>,
 }
 
-/// What is known from outside.
+/// The externally visible state.
 struct Model {
     admission: Admission,
     settings: AdmissionSettings,
@@ -143,7 +144,7 @@
     unreachable: BTreeMap<RunnerName, Timestamp>,
     heads: BTreeSet<ZoneName>,
     demanded: BTreeMap<(ArtifactId, ZoneName), Timestamp>,
-    /// Artifacts asked for at least once; answers about others are not kept.
+    /// Artifacts requested at least once; answers about others are not stored.
     wanted: BTreeSet<ArtifactId>,
 }
 
@@ -209,7 +210,7 @@
                 outlook,
             } => {
                 self.sequence += 1;
-                // Small steps back make answers that are older than, or as old as, the latest.
+                // Small negative ages make answers that are older than, or as old as, the latest.
                 let sequence = u64::try_from(self.sequence + age * 2).unwrap();
                 let answer = RouteAnswer {
                     artifact: artifact(wanted),
@@ -236,10 +237,10 @@
                 None => Ok(()),
             },
             Input::Return { nth, fault } => match self.nth_running(nth) {
-                Some(request) => self.give_back(request, fault),
+                Some(request) => self.return_request(request, fault),
                 None => Ok(()),
             },
-            Input::Leave { nth } => {
+            Input::Disconnect { nth } => {
                 let request = RequestId(nth as u64);
                 self.waiting.remove(&request);
                 self.running.remove(&request);
@@ -262,7 +263,11 @@
         self.running.keys().nth(nth).copied()
     }
 
-    fn give_back(&mut self, request: RequestId, fault: BackEndFault) -> Result<(), TestCaseError> {
+    fn return_request(
+        &mut self,
+        request: RequestId,
+        fault: BackEndFault,
+    ) -> Result<(), TestCaseError> {
         let (mut open, runner) = self.running.remove(&request).unwrap();
         let until = self.now + self.settings.avoid_period;
         if fault == BackEndFault::Unreachable {
@@ -312,15 +317,17 @@
             }
         }
         ensure(self.admission.waiting() == self.waiting.len(), || {
-            "lost a request".into()
+            "number of waiting requests differs".into()
         })?;
         ensure(self.admission.running() == self.running.len(), || {
-            "lost a run".into()
+            "number of running requests differs".into()
+        })?;
+        ensure(self.waiting.len() <= TOTAL_LIMIT, || {
+            "total limit exceeded".into()
         })?;
-        ensure(self.waiting.len() <= TOTAL_LIMIT, || "total bound".into())?;
         for index in 0..2 {
             let count = self.waiting_for(&artifact(index)).count();
-            ensure(count <= QUEUE_LIMIT, || "queue bound".into())?;
+            ensure(count <= QUEUE_LIMIT, || "queue limit exceeded".into())?;
         }
         Ok(())
     }
@@ -330,11 +337,11 @@
         self.waiting.values().filter(wanted)
     }
 
-    fn takes(&self, open: &Open, runner: &RunnerName) -> bool {
-        let is_held_off = |until: Option<&Timestamp>| until.is_some_and(|until| *until > self.now);
+    fn accepts(&self, open: &Open, runner: &RunnerName) -> bool {
+        let is_excluded = |until: Option<&Timestamp>| until.is_some_and(|until| *until > self.now);
         !self.leaving.contains(runner)
-            && !is_held_off(open.avoided.get(runner))
-            && !is_held_off(self.unreachable.get(runner))
+            && !is_excluded(open.avoided.get(runner))
+            && !is_excluded(self.unreachable.get(runner))
     }
 
     fn replicas<'a>(&'a self, wanted: &'a ArtifactId) -> impl Iterator<Item = &'a Replica> {
@@ -354,10 +361,10 @@
             return Err(TestCaseError::fail("dispatched twice or not waiting"));
         };
         ensure(open.arrival.deadline > self.now, || {
-            "sent after its deadline".into()
+            "dispatched after its deadline".into()
         })?;
-        ensure(self.takes(&open, &runner), || {
-            format!("{runner} takes no work")
+        ensure(self.accepts(&open, &runner), || {
+            format!("{runner} accepts no work")
         })?;
         let is_known = self
             .replicas(&open.arrival.artifact)
@@ -365,9 +372,9 @@
         ensure(is_known, || {
             format!("{runner} is not in the latest answers")
         })?;
-        // Who ranks higher and could go there goes first.
+        // A waiting request of higher rank that the runner accepts must be dispatched first.
         let first = self.waiting_for(&open.arrival.artifact).find(|other| {
-            other.since < self.now && rank(other) > rank(&open) && self.takes(other, &runner)
+            other.since < self.now && rank(other) > rank(&open) && self.accepts(other, &runner)
         });
         ensure(first.is_none(), || "overtaken by a lower rank".into())?;
         self.running.insert(request, (open, runner));
@@ -383,16 +390,16 @@
             return Err(TestCaseError::fail("refused twice or not waiting"));
         };
         ensure(refusal.code.not_run(), || {
-            "a waiting request did not run".into()
-        })?;
-        ensure(refusal.retry_after.is_some(), || {
-            "no time to come back".into()
+            "the code must state that the request did not run".into()
         })?;
+        ensure(refusal.retry_after.is_some(), || "no retry time".into())?;
         let deadline = open.arrival.deadline;
         let loading = self.latest_estimate(&open.arrival.artifact);
         let waited = self.now.since(open.since);
         match refusal.code {
-            ResultCode::DeadlinePassed => ensure(deadline <= self.now, || "too early".into()),
+            ResultCode::DeadlinePassed => ensure(deadline <= self.now, || {
+                "refused before its deadline".into()
+            }),
             ResultCode::DeadlineTooShort => {
                 let is_late = loading.is_some_and(|ready| ready > deadline);
                 ensure(is_late, || "refused although an estimate is in time".into())
@@ -401,18 +408,22 @@
                 let lower = self.waiting.values().find(|other| {
                     other.arrival.artifact == open.arrival.artifact && rank(other) < rank(&open)
                 });
-                ensure(lower.is_none(), || "a lower rank stays".into())
+                ensure(lower.is_none(), || {
+                    "a request of lower rank stays queued".into()
+                })
             }
             ResultCode::NoCoordinator | ResultCode::NoQuota => {
                 let grace = self.settings.coordinator_grace;
-                ensure(waited >= grace, || "before the grace period".into())
+                ensure(waited >= grace, || {
+                    "refused before the end of the grace period".into()
+                })
             }
             ResultCode::NoMemory => Ok(()),
             code => Err(TestCaseError::fail(format!("unexpected {code}"))),
         }
     }
 
-    /// The latest time that any zone's latest answer expects a replica at.
+    /// The latest time at which any zone's latest answer expects a replica.
     fn latest_estimate(&self, wanted: &ArtifactId) -> Option<Timestamp> {
         let answers = self
             .answers
@@ -438,7 +449,7 @@
         ensure(is_due, || "two demands in a period".into())
     }
 
-    /// What must hold whenever time has just passed.
+    /// Checks the invariants that hold after each tick.
     fn check_after_tick(&self) -> Result<(), TestCaseError> {
         for open in self.waiting.values() {
             let arrival = &open.arrival;
@@ -447,33 +458,36 @@
             })?;
             let could_run = self
                 .replicas(&arrival.artifact)
-                .any(|replica| self.takes(open, &replica.runner));
-            ensure(!could_run, || "waits beside a ready replica".into())?;
-            self.check_hope(open)?;
+                .any(|replica| self.accepts(open, &replica.runner));
+            ensure(!could_run, || {
+                "waits although a ready replica accepts it".into()
+            })?;
+            self.check_wait_limit(open)?;
             self.check_is_demanded(&arrival.artifact)?;
         }
         Ok(())
     }
 
-    /// Nobody waits longer than the grace period on zones that give no hope.
-    fn check_hope(&self, open: &Open) -> Result<(), TestCaseError> {
+    /// No request waits longer than the grace period without an outlook from any zone.
+    fn check_wait_limit(&self, open: &Open) -> Result<(), TestCaseError> {
         let grace = self.settings.coordinator_grace;
         let artifact = &open.arrival.artifact;
-        let heard = self
+        let received = self
             .answers
             .iter()
             .filter(|((wanted, _), _)| wanted == artifact)
             .map(|(_, (received, _))| *received)
             .max();
-        let last_sign = heard.map_or(open.since, |heard| heard.max(open.since));
-        // An answer gives hope for the grace period; then the grace period of the request runs.
+        let last_update = received.map_or(open.since, |received| received.max(open.since));
+        // An answer is valid for the grace period; after that the grace period of the request
+        // starts.
         let limit = grace * 2 + Duration::from_millis(TICK);
-        ensure(self.now.since(last_sign) <= limit, || {
-            "waits without any hope".into()
+        ensure(self.now.since(last_update) <= limit, || {
+            "waits too long without an outlook".into()
         })
     }
 
-    /// While anyone waits and some coordinator is known, some zone is asked again and again.
+    /// While requests wait and a coordinator is known, demands are sent periodically.
     fn check_is_demanded(&self, artifact: &ArtifactId) -> Result<(), TestCaseError> {
         if self.heads.is_empty() {
             return Ok(());
@@ -487,12 +501,12 @@
         let since = latest.max(oldest).unwrap_or(self.now);
         let limit = self.settings.demand_period * 2 + Duration::from_millis(TICK);
         ensure(self.now.since(since) <= limit, || {
-            "waits and nobody is asked".into()
+            "waits although no demand is sent".into()
         })
     }
 }
 
-/// Greater goes first.
+/// Rank of a request; the greatest is served first.
 fn rank(
     open: &Open,
 ) -> (
@@ -520,7 +534,7 @@
         for input in inputs {
             model.apply(input)?;
         }
-        // Nobody is left after the longest deadline.
+        // No request is left after the longest deadline.
         model.wait(16_000)?;
         prop_assert!(model.waiting.is_empty());
     }
--- a/crates/control/tests/attempt.rs
+++ b/crates/control/tests/attempt.rs
@@ -1,4 +1,4 @@
-//! Properties and fault cases of one request's attempts and of the retry budget.
+//! Property tests and fault cases of one request's attempts and of the retry budget.
 
 mod requests_support;
 
@@ -6,7 +6,7 @@
     BrokenBeforeHead, BrokenMidStream, Cancelled, NotSent, RefusedBeforeRunning, Status, TimedOut,
     Truncated,
 };
-use flaxward_control::attempt::Step::{Done, Finish, SendAgain, Stale};
+use flaxward_control::attempt::Step::{Done, Finish, Retry, Stale};
 use flaxward_control::attempt::{
     AttemptEnd, AttemptSettings, Delivered, RequestMachine, RequestPolicy, RetryBudget,
     RetryBudgetSettings,
@@ -23,17 +23,18 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Flaw {
     None,
-    /// A broken connection is taken for one over which nothing was sent.
+    /// A broken connection is treated as one over which nothing was sent.
     BrokenMeansNotSent,
-    /// Each attempt gets a machine that knows nothing of the former ones.
+    /// Each attempt gets a new machine without the state of the earlier attempts.
     ForgetsAttempts,
-    /// The code of the last attempt is shown, whatever the former ones met.
+    /// The code of the last attempt is reported, however the earlier ones ended.
     LastCodeOnly,
 }
 
-/// What one attempt meets. The back end ran it if the end says so, or leaves it open and `ran`.
+/// The course of one attempt. The back end ran the request if the end implies it, or if the end
+/// leaves it open and `ran` is set.
 #[derive(Clone, Debug)]
-struct Meeting {
+struct AttemptCase {
     end: AttemptEnd,
     ran: bool,
     /// Milliseconds spent waiting before the attempt, and in it.
@@ -42,7 +43,7 @@
     delivers_bytes: bool,
 }
 
-fn meeting() -> impl Strategy<Value = Meeting> {
+fn attempt_case() -> impl Strategy<Value = AttemptCase> {
     let end = prop_oneof![
         3 => Just(NotSent),
         2 => Just(RefusedBeforeRunning),
@@ -56,7 +57,7 @@
     let rarely = || prop::bool::weighted(0.1);
     let spent = (0_u64..300, 0_u64..300);
     (end, any::<bool>(), spent, rarely(), rarely()).prop_map(
-        |(end, ran, spent, gives_up, delivers_bytes)| Meeting {
+        |(end, ran, spent, gives_up, delivers_bytes)| AttemptCase {
             end,
             ran,
             spent,
@@ -66,14 +67,14 @@
     )
 }
 
-fn requests() -> impl Strategy<Value = (bool, u32, Vec<Meeting>)> {
-    (any::<bool>(), 0_u32..4, vec(meeting(), 8))
+fn requests() -> impl Strategy<Value = (bool, u32, Vec<AttemptCase>)> {
+    (any::<bool>(), 0_u32..4, vec(attempt_case(), 8))
 }
 
 fn budget(retries: u32) -> RetryBudget {
     let settings = RetryBudgetSettings {
         per_thousand: 0,
-        floor_per_second: retries,
+        min_per_second: retries,
         burst: retries,
     };
     RetryBudget::new(settings, Timestamp::ZERO)
@@ -91,32 +92,33 @@
     RequestMachine::new(policy, settings)
 }
 
-/// Drives one request and compares what the caller is told with the back ends' own record.
-fn check(case: (bool, u32, Vec<Meeting>), flaw: Flaw) -> Result<(), String> {
-    let (repeatable, retries, meetings) = case;
+/// Drives one request and compares the code that the caller gets with the runs counted at the back
+/// ends.
+fn check(case: (bool, u32, Vec<AttemptCase>), flaw: Flaw) -> Result<(), String> {
+    let (repeatable, retries, attempt_cases) = case;
     let (mut request, mut budget) = (machine(repeatable), budget(retries));
-    let (mut now, mut runs, mut reached, mut held) = (Timestamp::ZERO, 0, 0, 0);
-    let told = |code: Code, runs| rule(!code.not_run() || runs == 0, "not run, but it ran");
-    for (begun, meeting) in (1_u32..).zip(meetings) {
-        let end = meeting.end;
+    let (mut now, mut runs, mut reached, mut received) = (Timestamp::ZERO, 0, 0, 0);
+    let check_code = |code: Code, runs| rule(!code.not_run() || runs == 0, "not run, but it ran");
+    for (begun, attempt_case) in (1_u32..).zip(attempt_cases) {
+        let end = attempt_case.end;
         if flaw == Flaw::ForgetsAttempts {
             request = machine(repeatable);
         }
-        now.0 += meeting.spent.0;
-        if meeting.gives_up {
-            return told(request.give_up(Code::QueueFull), runs);
+        now.0 += attempt_case.spent.0;
+        if attempt_case.gives_up {
+            return check_code(request.give_up(Code::QueueFull), runs);
         }
         let (attempt, runner) = (AttemptId(begun.into()), RunnerName::literal("runner"));
         if let Err(code) = request.begin(attempt, runner, now, &mut budget) {
             rule(now >= DEADLINE, "refused to begin in time")?;
-            return told(code, runs);
+            return check_code(code, runs);
         }
         rule(now < DEADLINE, "sent past the deadline")?;
         rule(begun <= MAX_ATTEMPTS, "too many attempts")?;
         rule(begun <= 1 + 2 * retries, "more retries than the budget has")?;
         runs += u32::from(match end {
             NotSent | RefusedBeforeRunning => false,
-            BrokenBeforeHead | TimedOut | Cancelled => meeting.ran,
+            BrokenBeforeHead | TimedOut | Cancelled => attempt_case.ran,
             _ => true,
         });
         reached += u32::from(end != NotSent);
@@ -125,30 +127,33 @@
             !request.final_code(Code::Stopping).not_run(),
             "not run, while sent",
         )?;
-        now.0 += meeting.spent.1;
-        if meeting.delivers_bytes {
-            request.note_delivered(attempt, Delivered::Bytes);
+        now.0 += attempt_case.spent.1;
+        if attempt_case.delivers_bytes {
+            request.record_delivered(attempt, Delivered::Bytes);
         }
         if let BrokenMidStream { next_index } = end {
-            held = held.max(next_index);
+            received = received.max(next_index);
         }
         let broken_is_not_sent = flaw == Flaw::BrokenMeansNotSent && end == BrokenBeforeHead;
         let seen = if broken_is_not_sent { NotSent } else { end };
         let late = request.on_end(AttemptId(0), Status(200), now, &mut budget);
-        rule(late == Stale, "took the answer of another attempt")?;
+        rule(late == Stale, "accepted the answer of another attempt")?;
         match request.on_end(attempt, seen, now, &mut budget) {
-            SendAgain { resume_from, .. } => {
-                rule(!meeting.delivers_bytes, "continues what has no frames")?;
+            Retry { resume_from, .. } => {
+                rule(
+                    !attempt_case.delivers_bytes,
+                    "resumes an answer without frames",
+                )?;
                 let forgets = flaw == Flaw::ForgetsAttempts;
                 rule(
-                    forgets || resume_from.unwrap_or(0) == held,
-                    "resumes elsewhere",
+                    forgets || resume_from.unwrap_or(0) == received,
+                    "resumes from the wrong frame",
                 )?;
             }
             Finish(_) if flaw == Flaw::LastCodeOnly && !end.may_have_run() => {
-                return told(Code::BackendRefused, runs);
+                return check_code(Code::BackendRefused, runs);
             }
-            Finish(code) => return told(code, runs),
+            Finish(code) => return check_code(code, runs),
             Done => return rule(matches!(end, Status(_)), "done without answer"),
             Stale => return Err("the current attempt is stale".to_owned()),
         }
@@ -157,21 +162,21 @@
 }
 
 #[test]
-fn a_request_keeps_its_rules_whatever_its_attempts_meet() {
+fn a_request_keeps_its_invariants_however_its_attempts_end() {
     assert_eq!(violation(&requests(), |case| check(case, Flaw::None)), None);
 }
 
 #[test]
-fn broken_variants_of_requests_are_found() {
+fn broken_variants_of_requests_are_detected() {
     use Flaw::{BrokenMeansNotSent, ForgetsAttempts, LastCodeOnly};
     for flaw in [BrokenMeansNotSent, ForgetsAttempts, LastCodeOnly] {
         let found = violation(&requests(), |case| check(case, flaw));
-        assert!(found.is_some(), "{flaw:?} was not found");
+        assert!(found.is_some(), "{flaw:?} was not detected");
     }
 }
 
-/// The ends of a request's attempts in order, with the time of the last and the retries granted,
-/// and the last step.
+/// Per line: whether the request is repeatable, the ends of its attempts in order, the time of the
+/// last end, the retries in the budget, and the expected last step.
 macro_rules! steps_after {
     ($( $repeatable:literal $ends:tt at $time:literal with $retries:literal => $step:expr; )*) => {
         $( assert_eq!(last_step($repeatable, &$ends, $time, $retries), $step); )*
@@ -220,27 +225,28 @@
 proptest! {
     #![proptest_config(requests_support::config())]
 
-    /// In each span: at most the burst, the floor for its time and the share of its traffic.
+    /// In every interval, the retries granted are at most the burst, plus the minimum rate times
+    /// the interval, plus the share of its first attempts.
     #[test]
     fn retries_stay_a_share_of_the_traffic(
         steps in vec((prop_oneof![0_u64..10, 0_u64..4_000], any::<bool>(), 0_u8..9), 1..60),
     ) {
-        let settings = RetryBudgetSettings { per_thousand: 100, floor_per_second: 2, burst: 5 };
+        let settings = RetryBudgetSettings { per_thousand: 100, min_per_second: 2, burst: 5 };
         let mut budget = RetryBudget::new(settings, Timestamp::ZERO);
         let mut now = Timestamp::ZERO;
-        // Thousandths of a retry that may still be granted in the span from each step on.
-        let mut spans: Vec<u64> = Vec::new();
+        // Thousandths of a retry that may still be granted in the interval from each step on.
+        let mut intervals: Vec<u64> = Vec::new();
         for (pause, is_first, retries) in steps {
             now.0 += pause;
             let earned = pause * 2 + if is_first { 100 } else { 0 };
-            spans.iter_mut().for_each(|left| *left += earned);
-            spans.push(5_100);
+            intervals.iter_mut().for_each(|left| *left += earned);
+            intervals.push(5_100);
             if is_first {
                 budget.deposit(now);
             }
             let granted = (0..retries).filter(|_| budget.withdraw(now)).count() as u64;
-            for left in &mut spans {
-                prop_assert!(granted * 1_000 <= *left, "{granted} granted, {left} left");
+            for left in &mut intervals {
+                prop_assert!(granted * 1_000 <= *left, "{granted} granted, {left} thousandths allowed");
                 *left -= granted * 1_000;
             }
         }
--- a/crates/control/tests/claim_removal.rs
+++ b/crates/control/tests/claim_removal.rs
@@ -1,18 +1,19 @@
-//! Which groups of claims are selected for removal, when, and by whom.
+//! Removal of expired claims: which groups are selected, when, and by the coordinator of which
+//! zone.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 use flaxward_control::claims::{
     FoundClaim, Removal, RemovalAction, RemovalGroup, RemovalSettings, SHARDS, Unavailable,
-    shards_of,
+    shards_for_zone,
 };
 use flaxward_types::records::{Claim, ClaimOutcome};
 use flaxward_types::{AttemptId, DaemonName, Revision, ZoneName};
 
 const HOUR: u64 = 3_600;
 
-/// A second long after the epoch, at which an hour begins.
+/// The start of an hour, long after the epoch.
 const NOW: u64 = 500_000 * HOUR;
 
 fn settings() -> RemovalSettings {
@@ -40,7 +41,7 @@
     }
 }
 
-/// The groups that one pass selects if all of them are empty.
+/// The groups selected by one pass in which all groups are empty.
 fn groups_of_a_pass(removal: &mut Removal, now_unix: u64) -> Vec<RemovalGroup> {
     let mut groups = Vec::new();
     while let RemovalAction::Select(group) = removal.next(now_unix) {
@@ -65,7 +66,7 @@
             .collect();
         let mut shards: Vec<u32> = zones
             .iter()
-            .flat_map(|zone| shards_of(zone, &zones))
+            .flat_map(|zone| shards_for_zone(zone, &zones))
             .collect();
         shards.sort_unstable();
         assert_eq!(shards, (0..SHARDS).collect::<Vec<u32>>(), "{number} zones");
@@ -89,13 +90,13 @@
 fn passes_are_an_interval_apart_and_sooner_when_the_object_api_is_down() {
     let mut removal = Removal::new(settings(), vec![5]);
     groups_of_a_pass(&mut removal, NOW);
-    let rest = RemovalAction::Rest(Duration::from_hours(1));
-    assert_eq!(removal.next(NOW), rest);
+    let wait = RemovalAction::Wait(Duration::from_hours(1));
+    assert_eq!(removal.next(NOW), wait);
     let next_pass = NOW + HOUR;
     assert!(matches!(removal.next(next_pass), RemovalAction::Select(_)));
     removal.selected(Err(Unavailable), next_pass);
-    let rest = RemovalAction::Rest(Duration::from_mins(1));
-    assert_eq!(removal.next(next_pass), rest);
+    let wait = RemovalAction::Wait(Duration::from_mins(1));
+    assert_eq!(removal.next(next_pass), wait);
     assert_eq!(groups_of_a_pass(&mut removal, next_pass + 60).len(), 3);
 }
 
@@ -111,7 +112,7 @@
     removal.removed(Ok(false), NOW);
     assert_eq!(removal.next(NOW), removes(&full[1]));
     removal.removed(Ok(true), NOW);
-    let rest: Vec<RemovalGroup> = {
+    let selected: Vec<RemovalGroup> = {
         let mut groups = Vec::new();
         while let RemovalAction::Select(next) = removal.next(NOW) {
             groups.push(next);
@@ -123,12 +124,12 @@
         }
         groups
     };
-    let again = rest.iter().filter(|next| **next == group).count();
+    let again = selected.iter().filter(|next| **next == group).count();
     assert_eq!(again, 1, "nothing can be removed from it any more");
 }
 
 #[test]
-fn what_has_not_expired_stays_whatever_its_group() {
+fn a_claim_that_has_not_expired_is_kept_whatever_its_group() {
     let mut removal = Removal::new(settings(), vec![5]);
     assert!(matches!(removal.next(NOW), RemovalAction::Select(_)));
     let (fresh, old) = (claim(5, NOW + 1), claim(37, NOW - 31));
--- a/crates/control/tests/claims_world/mod.rs
+++ b/crates/control/tests/claims_simulation/mod.rs
@@ -1,5 +1,5 @@
-//! Daemons that race with one key over a simulated store that loses answers, applies writes late
-//! and goes down, while daemons die at any step and back ends break off.
+//! Simulates daemons that race for one key on a store that loses answers, applies writes late and
+//! becomes unavailable, while daemons crash at any step and back-end connections break.
 
 mod removal;
 
@@ -22,41 +22,41 @@
 use crate::requests_support::rule;
 
 const DAEMONS: usize = 3;
-/// Time from the beginning of a request to its deadline.
-const PATIENCE_SECONDS: u64 = 60;
-/// The deadline of the first one.
+/// Time from the arrival of a request to its deadline.
+const REQUEST_TIMEOUT_SECONDS: u64 = 60;
+/// Deadline of the first request.
 pub const DEADLINE_UNIX: u64 = 1_060;
-/// More than the moves of a case, so that only a dead daemon leaves a claim unsettled.
-pub const SETTLE_TRIES: u32 = 100;
-/// Three writes of the claim, each of which may find a claim to be marked unknown.
-const MAX_WAITS: u32 = 6;
+/// More than the operations of a case, so that only a crashed daemon leaves a claim in progress.
+pub const MAX_OUTCOME_WRITES: u32 = 100;
+/// Three writes of the claim, each of which may be followed by marking another claim as unknown.
+const MAX_WRITES_BEFORE_REPLY: u32 = 6;
 pub const BODY: &str = "work order 17";
 
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Flaw {
     #[default]
     None,
-    /// A write whose outcome is unknown is taken for one that was carried out.
+    /// A write whose outcome is unknown is treated as applied.
     RunsWhenUnknown,
-    /// The claim of a daemon that is gone is taken over.
+    /// The claim of a crashed daemon is taken over.
     TakesOverFromGone,
-    /// A connection that broke after sending is taken for one over which nothing was sent.
+    /// A connection that broke after sending is treated as one over which nothing was sent.
     ResendsAfterLostAnswer,
     /// A request whose outcome is unknown is recorded as not run.
     FreesKeyAfterLostAnswer,
-    /// Claims are replaced whatever their version.
+    /// Claims are replaced without comparing versions.
     BlindReplace,
     /// The request is sent before the claim is recorded.
     SendsBeforeClaim,
     /// Claims are removed before they expire.
     RemovesEarly,
-    /// Claims are removed whatever their version.
+    /// Claims are removed without comparing versions.
     RemovesBlind,
 }
 
-/// How the store treats a write.
+/// How the store handles a write.
 #[derive(Clone, Copy, Debug)]
-pub enum StoreMood {
+pub enum StoreBehavior {
     Works,
     Down,
     LosesAnswer,
@@ -65,45 +65,46 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-pub enum Move {
+pub enum Operation {
     Submit {
         daemon: usize,
         other_body: bool,
     },
-    Write(usize, StoreMood, bool),
+    Write(usize, StoreBehavior, bool),
     ApplyLate(usize),
-    /// The request of a submission meets a back end that may run it before the connection ends.
+    /// The request of a submission is sent to a back end, which may run it before the connection
+    /// ends.
     Send(usize, AttemptEnd, bool),
     GiveUp(usize),
     Kill(usize),
     Wait(u64),
-    /// A pass of removal, which may be carried out late.
+    /// A removal pass, whose removals may be applied late.
     Remove(bool),
     RemoveLate,
 }
 
-pub fn moves() -> impl Strategy<Value = Vec<Move>> {
-    vec(one_move(), 10..80)
+pub fn operations() -> impl Strategy<Value = Vec<Operation>> {
+    vec(operation(), 10..80)
 }
 
-/// Moves over hours, in which claims expire and are removed.
-pub fn moves_with_removal() -> impl Strategy<Value = Vec<Move>> {
-    let one = prop_oneof![
-        12 => one_move(),
-        1 => (600_u64..9_000).prop_map(Move::Wait),
-        2 => any::<bool>().prop_map(Move::Remove),
-        1 => Just(Move::RemoveLate),
+/// Operations over hours, in which claims expire and are removed.
+pub fn operations_with_removal() -> impl Strategy<Value = Vec<Operation>> {
+    let operation = prop_oneof![
+        12 => operation(),
+        1 => (600_u64..9_000).prop_map(Operation::Wait),
+        2 => any::<bool>().prop_map(Operation::Remove),
+        1 => Just(Operation::RemoveLate),
     ];
-    vec(one, 80..200)
+    vec(operation, 80..200)
 }
 
-fn one_move() -> impl Strategy<Value = Move> {
-    let mood = prop_oneof![
-        4 => Just(StoreMood::Works),
-        1 => Just(StoreMood::Down),
-        2 => Just(StoreMood::LosesAnswer),
-        1 => Just(StoreMood::LosesRequest),
-        1 => Just(StoreMood::AppliesLate),
+fn operation() -> impl Strategy<Value = Operation> {
+    let behavior = prop_oneof![
+        4 => Just(StoreBehavior::Works),
+        1 => Just(StoreBehavior::Down),
+        2 => Just(StoreBehavior::LosesAnswer),
+        1 => Just(StoreBehavior::LosesRequest),
+        1 => Just(StoreBehavior::AppliesLate),
     ];
     let end = prop_oneof![
         Just(AttemptEnd::Status(201)),
@@ -111,32 +112,33 @@
         Just(AttemptEnd::RefusedBeforeRunning),
         Just(AttemptEnd::BrokenBeforeHead),
     ];
-    let who = 0_usize..8;
+    let index = 0_usize..8;
     prop_oneof![
         3 => (0..DAEMONS, prop::bool::weighted(0.1))
-            .prop_map(|(daemon, other_body)| Move::Submit { daemon, other_body }),
-        8 => (who.clone(), mood, prop::bool::weighted(0.1))
-            .prop_map(|(who, mood, wrong)| Move::Write(who, mood, wrong)),
-        1 => who.clone().prop_map(Move::ApplyLate),
-        4 => (who.clone(), end, any::<bool>()).prop_map(|(who, end, ran)| Move::Send(who, end, ran)),
-        1 => who.prop_map(Move::GiveUp),
-        1 => (0..DAEMONS).prop_map(Move::Kill),
-        1 => (0_u64..60).prop_map(Move::Wait),
+            .prop_map(|(daemon, other_body)| Operation::Submit { daemon, other_body }),
+        8 => (index.clone(), behavior, prop::bool::weighted(0.1))
+            .prop_map(|(index, behavior, wrong)| Operation::Write(index, behavior, wrong)),
+        1 => index.clone().prop_map(Operation::ApplyLate),
+        4 => (index.clone(), end, any::<bool>())
+            .prop_map(|(index, end, ran)| Operation::Send(index, end, ran)),
+        1 => index.prop_map(Operation::GiveUp),
+        1 => (0..DAEMONS).prop_map(Operation::Kill),
+        1 => (0_u64..60).prop_map(Operation::Wait),
     ]
 }
 
-/// One request of the caller, with its driver.
+/// One request of the caller, with its state machines.
 pub struct Submission {
     daemon: usize,
     pub claim: ClaimMachine,
     request: RequestMachine,
     write: Option<ClaimWrite>,
-    /// Writes asked for while the caller waits.
-    waits: u32,
+    /// Writes requested before the caller has a reply.
+    writes_before_reply: u32,
     pub may_send: bool,
     other_body: bool,
     ran: bool,
-    /// Removals of the record before it began.
+    /// Number of removals of the record before the request was submitted.
     removals: u32,
     pub replies: u32,
     pub refused: Option<Code>,
@@ -152,25 +154,25 @@
 }
 
 #[derive(Default)]
-pub struct World {
+pub struct Simulation {
     flaw: Flaw,
     now_unix: u64,
     revision: u64,
     pub record: Option<(Revision, Claim)>,
-    late: Vec<ClaimWrite>,
-    dead: [bool; DAEMONS],
+    late_writes: Vec<ClaimWrite>,
+    crashed: [bool; DAEMONS],
     pub submissions: Vec<Submission>,
-    /// Runs of the request by its body, as the back ends themselves recorded them.
+    /// Runs of the request by its body, as recorded by the back ends.
     pub runs: BTreeMap<bool, u32>,
     lifetime: Duration,
     late_removals: Vec<Revision>,
-    /// Removals of the record; the runs are counted from the last one.
+    /// Number of removals of the record; `runs` counts from the last one.
     removals: u32,
-    /// When the request ran, as the back ends recorded it.
+    /// Times at which the request ran, as recorded by the back ends.
     run_at: Vec<u64>,
 }
 
-impl World {
+impl Simulation {
     pub fn new(flaw: Flaw) -> Self {
         Self {
             flaw,
@@ -184,45 +186,49 @@
         self.runs.values().sum()
     }
 
-    pub fn play(&mut self, one: Move) -> Result<(), String> {
-        match one {
-            Move::Submit { daemon, other_body } => self.submit(daemon, other_body)?,
-            Move::Write(who, mood, wrongly_gone) => self.write(who, mood, wrongly_gone)?,
-            Move::ApplyLate(which) if which < self.late.len() => {
-                let write = self.late.remove(which);
+    pub fn step(&mut self, operation: Operation) -> Result<(), String> {
+        match operation {
+            Operation::Submit { daemon, other_body } => self.submit(daemon, other_body)?,
+            Operation::Write(index, behavior, wrongly_gone) => {
+                self.write(index, behavior, wrongly_gone)?
+            }
+            Operation::ApplyLate(which) if which < self.late_writes.len() => {
+                let write = self.late_writes.remove(which);
                 let _ = self.apply(write, false);
             }
-            Move::Send(who, end, ran) => self.send(who, end, ran)?,
-            Move::GiveUp(who) => self.event(who, ClaimEvent::GiveUp(Code::DeadlinePassed))?,
-            Move::Kill(daemon) => self.dead[daemon] = true,
-            Move::Wait(seconds) => self.now_unix += seconds,
-            Move::Remove(late) => self.remove(late),
-            Move::RemoveLate => self.remove_late(),
-            Move::ApplyLate(_) => {}
+            Operation::Send(index, end, ran) => self.send(index, end, ran)?,
+            Operation::GiveUp(index) => {
+                self.event(index, ClaimEvent::GiveUp(Code::DeadlinePassed))?
+            }
+            Operation::Kill(daemon) => self.crashed[daemon] = true,
+            Operation::Wait(seconds) => self.now_unix += seconds,
+            Operation::Remove(late) => self.remove(late),
+            Operation::RemoveLate => self.remove_late(),
+            Operation::ApplyLate(_) => {}
         }
         self.check()
     }
 
     pub fn submit(&mut self, daemon: usize, other_body: bool) -> Result<(), String> {
-        if self.dead[daemon] {
+        if self.crashed[daemon] {
             return Ok(());
         }
         let request = ClaimRequest {
             digest: request_digest("POST", "/orders", &[u8::from(other_body)]),
             attempt: AttemptId(self.submissions.len() as u128),
             daemon: DaemonName::literal(&format!("daemon-{daemon}")),
-            deadline_unix: self.now_unix + PATIENCE_SECONDS,
+            deadline_unix: self.now_unix + REQUEST_TIMEOUT_SECONDS,
         };
         let settings = ClaimSettings {
             lifetime: self.lifetime,
-            settle_tries: SETTLE_TRIES,
+            max_outcome_writes: MAX_OUTCOME_WRITES,
             ..ClaimSettings::default()
         };
         let (claim, first) = ClaimMachine::start(settings, request, self.now_unix);
         let policy = RequestPolicy {
             repeatable: false,
             has_key: true,
-            deadline: Timestamp((self.now_unix + PATIENCE_SECONDS) * 1_000),
+            deadline: Timestamp((self.now_unix + REQUEST_TIMEOUT_SECONDS) * 1_000),
         };
         assert!(policy.needs_claim());
         self.submissions.push(Submission {
@@ -230,7 +236,7 @@
             claim,
             request: RequestMachine::new(policy, AttemptSettings::default()),
             write: None,
-            waits: 0,
+            writes_before_reply: 0,
             may_send: self.flaw == Flaw::SendsBeforeClaim,
             other_body,
             ran: false,
@@ -242,29 +248,34 @@
         self.act(self.submissions.len() - 1, vec![first])
     }
 
-    /// Carries out the outstanding write of a submission, in the store's mood.
-    pub fn write(&mut self, who: usize, mood: StoreMood, wrongly_gone: bool) -> Result<(), String> {
+    /// Sends the outstanding write of a submission to the store.
+    pub fn write(
+        &mut self,
+        index: usize,
+        behavior: StoreBehavior,
+        wrongly_gone: bool,
+    ) -> Result<(), String> {
         let Some(write) = self
-            .alive(who)
+            .running_submission(index)
             .and_then(|submission| submission.write.take())
         else {
             return Ok(());
         };
-        let result = match mood {
-            StoreMood::Works => self.apply(write, wrongly_gone),
-            StoreMood::Down => Err(ClaimFault::Unavailable),
-            StoreMood::LosesAnswer => {
+        let result = match behavior {
+            StoreBehavior::Works => self.apply(write, wrongly_gone),
+            StoreBehavior::Down => Err(ClaimFault::Unavailable),
+            StoreBehavior::LosesAnswer => {
                 let _ = self.apply(write, wrongly_gone);
                 Err(ClaimFault::Unknown)
             }
-            StoreMood::LosesRequest => Err(ClaimFault::Unknown),
-            StoreMood::AppliesLate => {
-                self.late.push(write);
+            StoreBehavior::LosesRequest => Err(ClaimFault::Unknown),
+            StoreBehavior::AppliesLate => {
+                self.late_writes.push(write);
                 Err(ClaimFault::Unknown)
             }
         };
-        let result = self.bend(result);
-        self.event(who, ClaimEvent::Written(result))
+        let result = self.apply_flaw(result);
+        self.event(index, ClaimEvent::Written(result))
     }
 
     /// The store: create-if-absent and compare-and-swap.
@@ -294,13 +305,13 @@
             .parse::<usize>();
         Err(ClaimFault::Present(Box::new(StoredClaim {
             revision,
-            holder_gone: wrongly_gone || self.dead[holder.expect("a daemon's number")],
+            holder_gone: wrongly_gone || self.crashed[holder.expect("a daemon's number")],
             claim,
         })))
     }
 
-    /// What a broken variant makes of a result.
-    fn bend(&self, result: Result<Revision, ClaimFault>) -> Result<Revision, ClaimFault> {
+    /// Alters a result as the broken variant does.
+    fn apply_flaw(&self, result: Result<Revision, ClaimFault>) -> Result<Revision, ClaimFault> {
         match result {
             Err(ClaimFault::Unknown) if self.flaw == Flaw::RunsWhenUnknown => Ok(Revision(0)),
             Err(ClaimFault::Present(mut stored)) if self.flaw == Flaw::TakesOverFromGone => {
@@ -313,17 +324,20 @@
         }
     }
 
-    fn send(&mut self, who: usize, end: AttemptEnd, ran: bool) -> Result<(), String> {
+    fn send(&mut self, index: usize, end: AttemptEnd, ran: bool) -> Result<(), String> {
         let flaw = self.flaw;
         let now = Timestamp(self.now_unix * 1_000);
         let mut budget = RetryBudget::new(RetryBudgetSettings::default(), now);
-        let Some(submission) = self.alive(who).filter(|submission| submission.may_send) else {
+        let Some(submission) = self
+            .running_submission(index)
+            .filter(|submission| submission.may_send)
+        else {
             return Ok(());
         };
         let attempt = AttemptId(1_000 + u128::from(submission.request.attempts()));
         let runner = RunnerName::literal("despacho-1");
         if let Err(code) = submission.request.begin(attempt, runner, now, &mut budget) {
-            return self.finish(who, Some(code), RequestEnd::refused(code));
+            return self.finish(index, Some(code), RequestEnd::refused(code));
         }
         let broken = end == AttemptEnd::BrokenBeforeHead;
         let runs = matches!(end, AttemptEnd::Status(_)) || broken && ran;
@@ -337,16 +351,21 @@
             self.run_at.push(self.now_unix);
         }
         match step {
-            Step::SendAgain { .. } => Ok(()),
-            Step::Done => self.finish(who, None, answer(BODY.to_owned())),
-            Step::Finish(code) => self.finish(who, Some(code), RequestEnd::refused(code)),
+            Step::Retry { .. } => Ok(()),
+            Step::Done => self.finish(index, None, answer(BODY.to_owned())),
+            Step::Finish(code) => self.finish(index, Some(code), RequestEnd::refused(code)),
             Step::Stale => Err("the current attempt is stale".to_owned()),
         }
     }
 
-    /// The caller gets its answer or refusal, and the claim its outcome.
-    fn finish(&mut self, who: usize, refused: Option<Code>, end: RequestEnd) -> Result<(), String> {
-        let forgotten = self.submissions[who].removals < self.removals;
+    /// Replies to the caller and reports the end to the claim.
+    fn finish(
+        &mut self,
+        index: usize,
+        refused: Option<Code>,
+        end: RequestEnd,
+    ) -> Result<(), String> {
+        let forgotten = self.submissions[index].removals < self.removals;
         if refused.is_some_and(Code::not_run) && !forgotten {
             rule(self.all_runs() == 0, "not run, though its key had run")?;
         }
@@ -356,26 +375,26 @@
             }
             other => other,
         };
-        self.submissions[who].may_send = false;
-        self.submissions[who].refused = refused;
-        self.submissions[who].replies += 1;
-        self.event(who, ClaimEvent::Ended(end))
+        self.submissions[index].may_send = false;
+        self.submissions[index].refused = refused;
+        self.submissions[index].replies += 1;
+        self.event(index, ClaimEvent::Ended(end))
     }
 
-    fn event(&mut self, who: usize, event: ClaimEvent) -> Result<(), String> {
+    fn event(&mut self, index: usize, event: ClaimEvent) -> Result<(), String> {
         let now_unix = self.now_unix;
-        let Some(submission) = self.alive(who) else {
+        let Some(submission) = self.running_submission(index) else {
             return Ok(());
         };
         let actions = submission.claim.handle(event, now_unix);
-        self.act(who, actions)
+        self.act(index, actions)
     }
 
-    fn act(&mut self, who: usize, actions: Vec<ClaimAction>) -> Result<(), String> {
+    fn act(&mut self, index: usize, actions: Vec<ClaimAction>) -> Result<(), String> {
         for action in actions {
             let runs = self.all_runs();
-            let submission = &mut self.submissions[who];
-            rule(!submission.closed, "an action after the end")?;
+            let submission = &mut self.submissions[index];
+            rule(!submission.closed, "an action after closing")?;
             match action {
                 ClaimAction::Write { write, .. } => {
                     rule(submission.write.is_none(), "two writes at a time")?;
@@ -386,16 +405,19 @@
                         "claimed after the reply",
                     )?;
                     submission.write = Some(write);
-                    submission.waits += u32::from(submission.replies == 0);
+                    submission.writes_before_reply += u32::from(submission.replies == 0);
                     rule(
-                        submission.waits <= MAX_WAITS,
+                        submission.writes_before_reply <= MAX_WRITES_BEFORE_REPLY,
                         "the caller waits for too many writes",
                     )?;
                 }
                 ClaimAction::Proceed => submission.may_send = true,
                 ClaimAction::Replay { status, body, .. } => {
                     submission.replies += 1;
-                    rule(status == 201 && body == BODY && runs == 1, "another answer")?;
+                    rule(
+                        status == 201 && body == BODY && runs == 1,
+                        "replayed a different answer",
+                    )?;
                 }
                 ClaimAction::Refuse(refusal) => {
                     submission.replies += 1;
@@ -407,12 +429,12 @@
         Ok(())
     }
 
-    fn alive(&mut self, who: usize) -> Option<&mut Submission> {
-        let submission = self.submissions.get_mut(who)?;
-        (!self.dead[submission.daemon]).then_some(submission)
+    fn running_submission(&mut self, index: usize) -> Option<&mut Submission> {
+        let submission = self.submissions.get_mut(index)?;
+        (!self.crashed[submission.daemon]).then_some(submission)
     }
 
-    /// What holds after each move.
+    /// Checks the invariants that hold after each operation.
     fn check(&self) -> Result<(), String> {
         rule(self.all_runs() <= 1, "ran twice")?;
         self.check_runs_apart()?;
@@ -423,22 +445,24 @@
         }
         match self.record.as_ref().map(|(_, claim)| &claim.outcome) {
             Some(ClaimOutcome::NotRun(_)) => rule(self.all_runs() == 0, "recorded as not run"),
-            Some(ClaimOutcome::Answered { .. }) => rule(self.all_runs() == 1, "answer of no run"),
+            Some(ClaimOutcome::Answered { .. }) => {
+                rule(self.all_runs() == 1, "recorded an answer without a run")
+            }
             _ => Ok(()),
         }
     }
 
-    /// The faults are over: each machine comes to its end and each caller that still has a daemon
-    /// gets one reply. Then the key is not blocked for ever.
+    /// After the faults end, each machine must close and each caller whose daemon is running must
+    /// get exactly one reply. After that the key must not stay blocked.
     pub fn settle(&mut self) -> Result<(), String> {
         for _ in 0..30 {
-            for who in 0..self.submissions.len() {
-                self.play(Move::Write(who, StoreMood::Works, false))?;
-                self.play(Move::Send(who, AttemptEnd::Status(201), true))?;
+            for index in 0..self.submissions.len() {
+                self.step(Operation::Write(index, StoreBehavior::Works, false))?;
+                self.step(Operation::Send(index, AttemptEnd::Status(201), true))?;
             }
         }
         for submission in &self.submissions {
-            if !self.dead[submission.daemon] {
+            if !self.crashed[submission.daemon] {
                 rule(submission.replies == 1, "a caller got no answer")?;
                 rule(
                     submission.closed && submission.claim.is_closed(),
@@ -446,23 +470,23 @@
                 )?;
             }
         }
-        for write in std::mem::take(&mut self.late) {
+        for write in std::mem::take(&mut self.late_writes) {
             let _ = self.apply(write, false);
         }
         let record = self.record.as_ref().map(|(_, claim)| &claim.outcome);
         let unsettled = record == Some(&ClaimOutcome::InProgress);
-        // A creation that lands after a removal is of a machine that is closed long since.
+        // A late creation that is applied after a removal belongs to a machine that is closed.
         let forgotten = self.removals > 0;
         rule(
-            !unsettled || forgotten || self.dead.contains(&true),
+            !unsettled || forgotten || self.crashed.contains(&true),
             "a claim was left in progress",
         )?;
-        self.now_unix += PATIENCE_SECONDS + 31;
-        self.dead[0] = false;
+        self.now_unix += REQUEST_TIMEOUT_SECONDS + 31;
+        self.crashed[0] = false;
         self.submit(0, false)?;
         let last = self.submissions.len() - 1;
         for _ in 0..5 {
-            self.play(Move::Write(last, StoreMood::Works, false))?;
+            self.step(Operation::Write(last, StoreBehavior::Works, false))?;
         }
         let submission = &self.submissions[last];
         rule(
--- a/crates/control/tests/claims_world/removal.rs
+++ b/crates/control/tests/claims_simulation/removal.rs
@@ -1,22 +1,23 @@
-//! Removal of expired claims in the world of claims, by a daemon whose clock is ahead and whose
-//! removals may be carried out late.
+//! Removal of expired claims in the simulation, by a daemon whose clock is ahead and whose removals
+//! may be applied late.
 
 use std::time::Duration;
 
 use flaxward_control::claims::{FoundClaim, Removal, RemovalAction, RemovalSettings, SHARDS};
 use flaxward_types::Revision;
 
-use super::{Flaw, World};
+use super::{Flaw, Simulation};
 use crate::requests_support::rule;
 
-/// How long records are kept where they are removed: shorter than the waits of a case.
+/// Lifetime of records in cases with removal; shorter than the waits of a case, so that records
+/// expire.
 const LIFETIME: Duration = Duration::from_mins(10);
 
-/// How much the clock of the daemon that removes is ahead; within the margin.
-const AHEAD_SECONDS: u64 = 29;
+/// How far the clock of the removing daemon is ahead; within the clock margin of 30 s.
+const CLOCK_AHEAD_SECONDS: u64 = 29;
 
-impl World {
-    /// A world in which records expire soon.
+impl Simulation {
+    /// A simulation with a short lifetime of records.
     pub fn with_removal(flaw: Flaw) -> Self {
         Self {
             lifetime: LIFETIME,
@@ -24,13 +25,13 @@
         }
     }
 
-    /// One pass of removal. A removal that is late is carried out by [`Self::remove_late`].
+    /// Runs one removal pass. A late removal is applied by [`Self::remove_late`].
     pub fn remove(&mut self, late: bool) {
-        let now_unix = self.now_unix + AHEAD_SECONDS;
+        let now_unix = self.now_unix + CLOCK_AHEAD_SECONDS;
         let mut removal = Removal::new(RemovalSettings::default(), (0..SHARDS).collect());
         loop {
             match removal.next(now_unix) {
-                RemovalAction::Rest(_) => break,
+                RemovalAction::Wait(_) => break,
                 RemovalAction::Select(group) => {
                     let found = self
                         .found()
@@ -38,7 +39,7 @@
                     removal.selected(Ok(found.into_iter().collect()), now_unix);
                 }
                 RemovalAction::Remove { version, .. } => {
-                    self.carry_out(version, late);
+                    self.apply_removal(version, late);
                     removal.removed(Ok(true), now_unix);
                 }
             }
@@ -46,14 +47,14 @@
         if self.flaw == Flaw::RemovesEarly
             && let Some(found) = self.found()
         {
-            self.carry_out(found.version, late);
+            self.apply_removal(found.version, late);
         }
     }
 
-    /// Carries out a removal that is late.
+    /// Applies a late removal.
     pub fn remove_late(&mut self) {
         if let Some(version) = self.late_removals.pop() {
-            self.carry_out(version, false);
+            self.apply_removal(version, false);
         }
     }
 
@@ -66,7 +67,7 @@
         })
     }
 
-    fn carry_out(&mut self, version: Revision, late: bool) {
+    fn apply_removal(&mut self, version: Revision, late: bool) {
         if late {
             self.late_removals.push(version);
             return;
@@ -83,7 +84,7 @@
         }
     }
 
-    /// A key that was forgotten may run again, but not sooner than promised.
+    /// A key whose record was removed may run again, but not within the lifetime.
     pub fn check_runs_apart(&self) -> Result<(), String> {
         let apart = |pair: &[u64]| pair[1] - pair[0] >= self.lifetime.as_secs();
         rule(
--- a/crates/control/tests/requests_support/mod.rs
+++ b/crates/control/tests/requests_support/mod.rs
@@ -1,4 +1,5 @@
-//! How the properties of requests are run: fixed seeds, and broken variants that must be found.
+//! Runs the property tests of requests with fixed seeds. The tests also run deliberately broken
+//! variants, which must be detected.
 
 use proptest::strategy::Strategy;
 use proptest::test_runner::{Config, RngSeed, TestCaseError, TestRunner};
@@ -19,7 +20,7 @@
     }
 }
 
-/// The first violation that random cases show, if any.
+/// The first violation found by random cases, if any.
 pub fn violation<S: Strategy>(
     strategy: &S,
     check: impl Fn(S::Value) -> Result<(), String>,
@@ -30,7 +31,7 @@
         .map(|error| error.to_string())
 }
 
-/// An error with this text unless the rule holds.
+/// Returns an error with this text unless the rule holds.
 pub fn rule(holds: bool, text: &str) -> Result<(), String> {
     if holds { Ok(()) } else { Err(text.to_owned()) }
 }
--- a/crates/flaxward/src/daemon/claim_removal.rs
+++ b/crates/flaxward/src/daemon/claim_removal.rs
@@ -6,7 +6,7 @@
 use flaxward_backends::{Collection, Object, ObjectApi, Selection, StoreError};
 use flaxward_control::claims::{
     FoundClaim, REMOVAL_GROUP_FIELD, Removal, RemovalAction, RemovalGroup, RemovalSettings,
-    Unavailable, shards_of,
+    Unavailable, shards_for_zone,
 };
 use flaxward_settings::DaemonSection;
 use flaxward_types::Revision;
@@ -32,7 +32,7 @@
         Self {
             store,
             settings,
-            shards: shards_of(&daemon.zone, &daemon.zones),
+            shards: shards_for_zone(&daemon.zone, &daemon.zones),
         }
     }
 
@@ -52,7 +52,7 @@
         let pause = Duration::from_secs(1) / self.settings.calls_per_second.max(1);
         loop {
             match removal.next(unix_seconds()) {
-                RemovalAction::Rest(rest) => tokio::time::sleep(rest).await,
+                RemovalAction::Wait(rest) => tokio::time::sleep(rest).await,
                 RemovalAction::Select(group) => {
                     let found = self.select(group).await;
                     removal.selected(found, unix_seconds());
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -108,7 +108,7 @@
     /// Notes what the caller has received.
     pub fn note_delivered(&mut self, delivered: Delivered) {
         let attempt = self.attempt();
-        self.machine.note_delivered(attempt, delivered);
+        self.machine.record_delivered(attempt, delivered);
     }
 
     /// Sends the request until a back end answers with the head of an answer.
@@ -294,7 +294,7 @@
 
     fn follow(&mut self, step: &Step, end: AttemptEnd) -> Result<(), Refusal> {
         match step {
-            Step::SendAgain { resume_from, .. } => {
+            Step::Retry { resume_from, .. } => {
                 let deadline = match resume_from {
                     Some(_) => self.gateway.clock.now() + self.gateway.settings.stream_resume_wait,
                     None => self.call.deadline,
--- a/crates/simulation/src/gateway/mod.rs
+++ b/crates/simulation/src/gateway/mod.rs
@@ -221,7 +221,7 @@
         match verdict {
             FrameVerdict::Deliver => {
                 let delivered = Delivered::Frames(run.checker.next_index());
-                run.machine.note_delivered(attempt, delivered);
+                run.machine.record_delivered(attempt, delivered);
                 let delivery = crate::caller::Delivery::Frame(frame);
                 self.actions.push(GatewayAction::Deliver(number, delivery));
             }
--- a/crates/simulation/src/gateway/run.rs
+++ b/crates/simulation/src/gateway/run.rs
@@ -361,7 +361,7 @@
 
     fn follow(&mut self, number: u64, step: &Step, end: AttemptEnd) {
         match step {
-            Step::SendAgain { resume_from, .. } => self.give_back(number, *resume_from, end),
+            Step::Retry { resume_from, .. } => self.give_back(number, *resume_from, end),
             Step::Finish(code) => self.fail(number, Refusal::new(*code)),
             Step::Done | Step::Stale => self.fail(number, Refusal::new(ResultCode::Internal)),
         }
