--- a/crates/control/src/coordinator/answers.rs
+++ b/crates/control/src/coordinator/answers.rs
@@ -1,4 +1,4 @@
-//! Answers to the gateways: at once to each demand, and unasked when something changes.
+//! Answers to gateways: in response to each demand, and unsolicited when something changes.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -13,105 +13,110 @@
 use super::sample::{SAMPLE, sample};
 use crate::observation::is_near;
 
-/// Estimate added while something else has to happen before the load.
-const PREPARATION: Duration = Duration::from_secs(1);
-/// Estimates that grow by less than this are not worth an answer.
+/// Added to the estimate while another operation must complete before the load.
+const PREPARATION_ESTIMATE: Duration = Duration::from_secs(1);
+/// An estimate that grows by less than this does not cause a new answer.
 const ESTIMATE_SLACK: Duration = Duration::from_secs(1);
-/// When to ask again about a model that is not configured.
-const ASK_AGAIN_UNKNOWN: Duration = Duration::from_secs(1);
+/// Retry interval given for a model that is not configured.
+const UNKNOWN_MODEL_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// A gateway that has asked, and what it knows already.
+/// A gateway's query about an artifact.
 #[derive(Clone, Debug)]
-pub(super) struct Asked {
+pub(super) struct GatewayQuery {
     pub(super) gateway: DaemonName,
     pub(super) artifact: ArtifactId,
-    /// The answer that it holds.
+    /// Version of the answer that the gateway has.
     pub(super) known: Option<AnswerVersion>,
 }
 
-/// How an artifact stood when it was last answered about.
+/// State of an artifact when gateways were last answered about it.
 #[derive(Clone, Debug)]
-struct Sent {
+struct PublishedState {
     ready: Vec<Replica>,
     outlook: Outlook,
     at: Timestamp,
 }
 
-/// Ready replicas that one gateway was told of.
+/// Ready replicas that were announced to one gateway.
 #[derive(Clone, Debug)]
-struct Told {
+struct Announced {
     version: AnswerVersion,
     sample: Vec<Replica>,
 }
 
-/// What was answered to whom.
+/// Answers that were sent to gateways.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Answers {
     sequence: u64,
-    sent: BTreeMap<ArtifactId, Sent>,
-    /// Gateways that know of ready replicas and must hear when these go.
-    told: BTreeMap<ArtifactId, BTreeMap<DaemonName, Told>>,
+    published: BTreeMap<ArtifactId, PublishedState>,
+    /// Gateways that know of ready replicas and must be notified when these are removed.
+    announced: BTreeMap<ArtifactId, BTreeMap<DaemonName, Announced>>,
 }
 
 impl Answers {
-    /// Artifacts about which something was answered.
+    /// Artifacts for which an answer was sent.
     pub(super) fn artifacts(&self) -> impl Iterator<Item = &ArtifactId> {
-        self.sent.keys().chain(self.told.keys())
+        self.published.keys().chain(self.announced.keys())
     }
 
-    /// Forgets a gateway.
-    pub(super) fn forget_gateway(&mut self, gateway: &DaemonName) {
-        for gateways in self.told.values_mut() {
+    /// Removes a gateway.
+    pub(super) fn remove_gateway(&mut self, gateway: &DaemonName) {
+        for gateways in self.announced.values_mut() {
             gateways.remove(gateway);
         }
-        self.told.retain(|_, gateways| !gateways.is_empty());
+        self.announced.retain(|_, gateways| !gateways.is_empty());
     }
 
-    fn told(&self, artifact: &ArtifactId, gateway: &DaemonName) -> Option<&Told> {
-        self.told.get(artifact)?.get(gateway)
+    fn announced(&self, artifact: &ArtifactId, gateway: &DaemonName) -> Option<&Announced> {
+        self.announced.get(artifact)?.get(gateway)
     }
 
-    /// Notes what a gateway is told from now on.
-    fn note_told(&mut self, artifact: &ArtifactId, gateway: &DaemonName, told: Told) {
-        if told.sample.is_empty() {
-            if let Some(gateways) = self.told.get_mut(artifact) {
+    /// Records the replicas that a gateway knows from now on.
+    fn record_announced(
+        &mut self,
+        artifact: &ArtifactId,
+        gateway: &DaemonName,
+        announced: Announced,
+    ) {
+        if announced.sample.is_empty() {
+            if let Some(gateways) = self.announced.get_mut(artifact) {
                 gateways.remove(gateway);
             }
             return;
         }
-        let gateways = self.told.entry(artifact.clone()).or_default();
-        gateways.insert(gateway.clone(), told);
+        let gateways = self.announced.entry(artifact.clone()).or_default();
+        gateways.insert(gateway.clone(), announced);
     }
 
     /// Gateways that know of ready replicas of an artifact.
-    fn informed(&self, artifact: &ArtifactId) -> impl Iterator<Item = &DaemonName> {
-        let gateways = self.told.get(artifact);
+    fn informed_gateways(&self, artifact: &ArtifactId) -> impl Iterator<Item = &DaemonName> {
+        let gateways = self.announced.get(artifact);
         gateways.into_iter().flat_map(BTreeMap::keys)
     }
 }
 
-impl Told {
-    /// Whether the gateway need not be told this sample, since it knows the same machines.
-    fn names(&self, sample: &[Replica]) -> bool {
-        same_machines(&self.sample, sample)
+impl Announced {
+    /// Whether the sample names the runners that the gateway already knows.
+    fn has_same_runners(&self, sample: &[Replica]) -> bool {
+        same_runners(&self.sample, sample)
     }
 
-    /// Whether the loads told are still near enough to choose by.
-    fn has_loads_of(&self, sample: &[Replica]) -> bool {
+    /// Whether the announced loads are still accurate enough for routing.
+    fn has_similar_loads(&self, sample: &[Replica]) -> bool {
         let mut pairs = self.sample.iter().zip(sample);
         pairs.all(|(old, new)| is_near(old.outstanding, new.outstanding))
     }
 }
 
 impl Leading {
-    /// Answers one gateway, unless it is being answered anyway. What it knows already is confirmed
-    /// in a few bytes.
-    pub(super) fn answer_gateway(&mut self, asked: &Asked, context: &Context) {
-        let Asked {
+    /// Answers one gateway, unless an answer to it is already among the actions. An answer that it
+    /// already has is confirmed in a few bytes.
+    pub(super) fn answer_gateway(&mut self, query: &GatewayQuery, context: &Context) {
+        let GatewayQuery {
             gateway,
             artifact,
             known,
-        } = asked;
+        } = query;
         let answered = self.actions.iter().any(|action| {
             matches!(action, CoordinatorAction::Answer(to, answer)
                 if to == gateway && answer.artifact == *artifact)
@@ -119,18 +124,20 @@
         if !self.placement.fenced() || answered {
             return;
         }
-        let (ready, outlook) = self.state_of(artifact, context);
-        // A change that others must hear of is left to the next plan.
-        let sent = self.answers.sent.get(artifact);
-        if sent.is_none_or(|sent| sent.still_holds(&ready, &outlook, context.now)) {
-            self.note_sent(artifact, &ready, &outlook, context.now);
+        let (ready, outlook) = self.routing_state(artifact, context);
+        // A change that other gateways must be notified of is left to the next plan.
+        let published = self.answers.published.get(artifact);
+        if published.is_none_or(|published| published.is_current(&ready, &outlook, context.now)) {
+            self.record_published(artifact, &ready, &outlook, context.now);
         }
         let sample = sample(gateway, ready, SAMPLE);
-        let told = self.answers.told(artifact, gateway);
-        let held = told.filter(|told| {
-            Some(told.version) == *known && told.names(&sample) && told.has_loads_of(&sample)
+        let announced = self.answers.announced(artifact, gateway);
+        let unchanged = announced.filter(|announced| {
+            Some(announced.version) == *known
+                && announced.has_same_runners(&sample)
+                && announced.has_similar_loads(&sample)
         });
-        match held.map(|told| told.version) {
+        match unchanged.map(|announced| announced.version) {
             Some(version) => {
                 let action = CoordinatorAction::Confirm(gateway.clone(), version);
                 self.actions.push(action);
@@ -139,30 +146,32 @@
         }
     }
 
-    /// Answers every gateway concerned by what has changed about some artifacts.
+    /// Notifies the gateways affected by changes to some artifacts.
     pub(super) fn answer_changes(&mut self, focus: &BTreeSet<ArtifactId>, context: &Context) {
         if !self.placement.fenced() {
             return;
         }
         for artifact in focus {
             let demanded = context.demands.is_demanded(artifact);
-            if !demanded && !self.answers.told.contains_key(artifact) {
-                self.answers.sent.remove(artifact);
+            if !demanded && !self.answers.announced.contains_key(artifact) {
+                self.answers.published.remove(artifact);
                 continue;
             }
-            let (ready, outlook) = self.state_of(artifact, context);
-            let sent = self.answers.sent.get(artifact);
-            if sent.is_some_and(|sent| sent.still_holds(&ready, &outlook, context.now)) {
+            let (ready, outlook) = self.routing_state(artifact, context);
+            let published = self.answers.published.get(artifact);
+            if published
+                .is_some_and(|published| published.is_current(&ready, &outlook, context.now))
+            {
                 continue;
             }
             self.record_refusal(artifact, &outlook);
-            self.note_sent(artifact, &ready, &outlook, context.now);
+            self.record_published(artifact, &ready, &outlook, context.now);
             self.answer_all(artifact, &ready, &outlook, context);
         }
     }
 
-    /// Answers the gateways that want an artifact or know of replicas of it, but none whose sample
-    /// has stayed the same.
+    /// Answers the gateways that want an artifact or know of replicas of it, except those whose
+    /// sample is unchanged.
     fn answer_all(
         &mut self,
         artifact: &ArtifactId,
@@ -172,17 +181,17 @@
     ) {
         let mut gateways: BTreeSet<DaemonName> =
             context.demands.gateways(artifact).cloned().collect();
-        gateways.extend(self.answers.informed(artifact).cloned());
+        gateways.extend(self.answers.informed_gateways(artifact).cloned());
         for gateway in gateways {
             let sample = sample(&gateway, ready.to_vec(), SAMPLE);
-            let told = self.answers.told(artifact, &gateway);
-            if told.is_some_and(|told| told.names(&sample)) {
+            let announced = self.answers.announced(artifact, &gateway);
+            if announced.is_some_and(|announced| announced.has_same_runners(&sample)) {
                 continue;
             }
             self.send_answer(&gateway, artifact, sample, outlook.clone(), context);
         }
         if ready.is_empty() {
-            self.answers.told.remove(artifact);
+            self.answers.announced.remove(artifact);
         }
     }
 
@@ -190,26 +199,30 @@
         let Outlook::Refused { code, .. } = outlook else {
             return;
         };
-        let before = self.answers.sent.get(artifact).map(|sent| &sent.outlook);
+        let before = self
+            .answers
+            .published
+            .get(artifact)
+            .map(|published| &published.outlook);
         let known = matches!(before, Some(Outlook::Refused { code: before, .. }) if before == code);
         if !known {
             self.record(artifact, DecisionKind::Refuse(*code));
         }
     }
 
-    fn note_sent(
+    fn record_published(
         &mut self,
         artifact: &ArtifactId,
         ready: &[Replica],
         outlook: &Outlook,
         now: Timestamp,
     ) {
-        let sent = Sent {
+        let published = PublishedState {
             ready: ready.to_vec(),
             outlook: outlook.clone(),
             at: now,
         };
-        self.answers.sent.insert(artifact.clone(), sent);
+        self.answers.published.insert(artifact.clone(), published);
     }
 
     fn send_answer(
@@ -229,24 +242,24 @@
             ready: sample,
             outlook,
         };
-        let told = Told {
+        let announced = Announced {
             version: answer.version(),
             sample: answer.ready.clone(),
         };
-        self.answers.note_told(artifact, gateway, told);
+        self.answers.record_announced(artifact, gateway, announced);
         self.actions
             .push(CoordinatorAction::Answer(gateway.clone(), answer));
     }
 
-    /// Replicas of an artifact that take requests, and what those who find none can expect.
-    fn state_of(&self, artifact: &ArtifactId, context: &Context) -> (Vec<Replica>, Outlook) {
+    /// Replicas of an artifact that accept requests, and the outlook for callers if there are none.
+    fn routing_state(&self, artifact: &ArtifactId, context: &Context) -> (Vec<Replica>, Outlook) {
         if context.configuration.bytes(artifact).is_none() {
             let code = if context.has_configuration() {
                 ResultCode::UnknownModel
             } else {
                 ResultCode::NoConfiguration
             };
-            let outlook = refused(code, ASK_AGAIN_UNKNOWN);
+            let outlook = refused(code, UNKNOWN_MODEL_RETRY_AFTER);
             return (Vec::new(), outlook);
         }
         let ready: Vec<Replica> = self
@@ -285,7 +298,7 @@
             Some(Block::Elsewhere(zones)) => Outlook::Elsewhere {
                 zones: zones.clone(),
             },
-            Some(Block::Waiting) | None => loading(own + PREPARATION),
+            Some(Block::Waiting) | None => loading(own + PREPARATION_ESTIMATE),
         }
     }
 
@@ -298,10 +311,10 @@
     }
 }
 
-impl Sent {
-    /// Whether the answer need not be sent again.
-    fn still_holds(&self, ready: &[Replica], outlook: &Outlook, now: Timestamp) -> bool {
-        let same_replicas = same_machines(&self.ready, ready);
+impl PublishedState {
+    /// Whether the answer is still valid and need not be sent again.
+    fn is_current(&self, ready: &[Replica], outlook: &Outlook, now: Timestamp) -> bool {
+        let same_replicas = same_runners(&self.ready, ready);
         let same_outlook = match (&self.outlook, outlook) {
             (Outlook::Loading { estimate_ms: old }, Outlook::Loading { estimate_ms: new }) => {
                 let left = Duration::from_millis(*old).saturating_sub(now.since(self.at));
@@ -315,7 +328,7 @@
     }
 }
 
-fn same_machines(old: &[Replica], new: &[Replica]) -> bool {
+fn same_runners(old: &[Replica], new: &[Replica]) -> bool {
     let same =
         |(old, new): (&Replica, &Replica)| old.runner == new.runner && old.address == new.address;
     old.len() == new.len() && old.iter().zip(new).all(same)
--- a/crates/control/src/coordinator/bases.rs
+++ b/crates/control/src/coordinator/bases.rs
@@ -4,7 +4,7 @@
 use flaxward_types::records::Slot;
 
 use super::leading::{Context, Leading};
-use super::ledger::Room;
+use super::memory::Headroom;
 use super::placement::subject_of;
 
 impl Leading {
@@ -28,7 +28,7 @@
         runners.any(|name| {
             self.takes_loads(name, context.now)
                 && self.has_base(adapter, name)
-                && self.room(name, bytes, context) != Room::None
+                && self.headroom(name, bytes, context) != Headroom::None
         })
     }
 
--- a/crates/control/src/coordinator/blocks.rs
+++ b/crates/control/src/coordinator/blocks.rs
@@ -24,7 +24,9 @@
         artifact: &ArtifactId,
         context: &Context,
     ) -> Block {
-        let until = self.failures.pause(artifact, context.now, context.settings);
+        let until = self
+            .failures
+            .back_off(artifact, context.now, context.settings);
         Block::Refused(ResultCode::LoadFailed, until.since(context.now))
     }
 
@@ -83,8 +85,8 @@
     ) -> Block {
         let others = self.quotas.other_zones(subject);
         if !others.is_empty() {
-            let sent_on = self.sent_on.entry(artifact.clone());
-            sent_on.or_insert(context.now);
+            let redirected_since = self.redirected_since.entry(artifact.clone());
+            redirected_since.or_insert(context.now);
         }
         let asked = self
             .quotas
@@ -98,8 +100,8 @@
 
     /// How long a gateway has kept on asking for an artifact after having been sent on.
     pub(super) fn asking_age(&self, artifact: &ArtifactId, context: &Context) -> Duration {
-        match self.sent_on.get(artifact) {
-            Some(sent_on) => context.demands.persistence(artifact, *sent_on),
+        match self.redirected_since.get(artifact) {
+            Some(redirected_since) => context.demands.persistence(artifact, *redirected_since),
             // Nothing was missing here but memory.
             None if self.quotas.units(&subject_of(artifact)) == 0 => Duration::ZERO,
             None => demand_age(artifact, context),
@@ -121,7 +123,7 @@
             coming |= state == Some(HeldState::Unloading);
             if !coming && self.may_yield(&slot, artifact, context) {
                 self.evict(&slot);
-                self.made_way.insert(slot.artifact, context.now);
+                self.replaced_at.insert(slot.artifact, context.now);
                 coming = true;
             }
         }
--- a/crates/control/src/coordinator/choice.rs
+++ b/crates/control/src/coordinator/choice.rs
@@ -9,8 +9,8 @@
 
 use super::blocks::ASK_AGAIN;
 use super::leading::{Block, Context, Leading, Wanted, slot};
-use super::ledger::Room;
 use super::loads::{Tier, remote_queued};
+use super::memory::Headroom;
 use super::placement::subject_of;
 use super::weakness::Weakness;
 
@@ -64,8 +64,8 @@
             }
             let bytes = context.configuration.bytes(artifact).unwrap_or(0) + wanted.extra_bytes;
             could_fit |= self.could_fit(name, bytes);
-            let room = self.room(name, bytes, context);
-            if room == Room::None {
+            let room = self.headroom(name, bytes, context);
+            if room == Headroom::None {
                 continue;
             }
             fits = true;
@@ -105,7 +105,7 @@
         let Some(runner) = self.runners.get(name) else {
             return false;
         };
-        let free = runner.confirmed_without(artifact)
+        let free = runner.is_confirmed_absent(artifact)
             && !self.loads.contains_key(&wanted_slot)
             && !self.unloads.contains_key(&wanted_slot);
         let has_base = !artifact.is_adapter() || self.has_base(artifact, name);
@@ -128,7 +128,7 @@
         &self,
         artifact: &ArtifactId,
         name: &RunnerName,
-        room: Room,
+        room: Headroom,
         recorded: bool,
         context: &Context,
     ) -> Option<Choice> {
@@ -143,7 +143,7 @@
         if !recorded {
             estimate += SLOT_WRITE;
         }
-        if room == Room::AfterUnload {
+        if room == Headroom::AfterUnload {
             estimate += UNLOAD;
         }
         Some(Choice {
@@ -196,7 +196,7 @@
             return true;
         }
         let runner = self.runners.get(&slot.runner);
-        runner.is_some_and(|runner| runner.confirmed_without(&slot.artifact))
+        runner.is_some_and(|runner| runner.is_confirmed_absent(&slot.artifact))
             && !self.unloads.contains_key(slot)
     }
 }
--- a/crates/control/src/coordinator/consistency.rs
+++ b/crates/control/src/coordinator/consistency.rs
@@ -1,14 +1,14 @@
-//! Compares what is kept up to date step by step with what it stands for, for proofs.
+//! Compares the incrementally updated indexes with their sources, for tests.
 
 use super::Coordinator;
 use super::holdings::Holdings;
 use super::leading::Leading;
 
 impl Coordinator {
-    /// Whether every index says the same as one made anew.
+    /// Checks that every index equals one rebuilt from its source.
     ///
     /// # Errors
-    /// The name of an index that does not.
+    /// The name of the first index that differs.
     pub fn check_indexes(&self) -> Result<(), &'static str> {
         self.leading.as_ref().map_or(Ok(()), Leading::check_indexes)
     }
--- a/crates/control/src/coordinator/events.rs
+++ b/crates/control/src/coordinator/events.rs
@@ -1,4 +1,4 @@
-//! Takes in events: each changes the state of the part that it is about.
+//! Applies events to the coordinator's state.
 
 use flaxward_types::routing::Demand;
 use flaxward_types::{ArtifactId, DaemonName, Timestamp};
@@ -6,7 +6,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::Coordinator;
-use super::answers::Asked;
+use super::answers::GatewayQuery;
 use super::demand::DemandChange;
 use super::interface::{CoordinatorAction, CoordinatorEvent, StoreFault};
 use super::leading::Leading;
@@ -15,15 +15,15 @@
 use crate::configuration::Configuration;
 
 impl Coordinator {
-    /// Changes the state by an event. Returns the demand that is to be answered.
-    pub(super) fn take_in(
+    /// Applies an event to the state. Returns the gateway query to answer, if there is one.
+    pub(super) fn apply_event(
         &mut self,
         event: CoordinatorEvent,
         now: Timestamp,
         configuration: &Configuration,
         actions: &mut Vec<CoordinatorAction>,
-    ) -> Option<Asked> {
-        // What only confirms what is known calls for no new plan.
+    ) -> Option<GatewayQuery> {
+        // Events that only confirm the known state need no new plan.
         self.changed |= matches!(
             event,
             CoordinatorEvent::PlacementRead(_)
@@ -51,62 +51,63 @@
                 self.machines = Some(machines);
             }
             CoordinatorEvent::Demanded(gateway, demand) => {
-                return Some(self.demanded(gateway, demand, now));
+                return Some(self.apply_demand(gateway, demand, now));
             }
             CoordinatorEvent::GatewayGone(gateway) => {
-                let forgotten = self.shared.demands.forget_gateway(&gateway);
-                self.touch(forgotten);
+                let removed = self.shared.demands.forget_gateway(&gateway);
+                self.touch(removed);
                 if let Some(leading) = &mut self.leading {
-                    leading.answers.forget_gateway(&gateway);
+                    leading.answers.remove_gateway(&gateway);
                 }
             }
             CoordinatorEvent::LeaseRead(result) => {
-                self.note_probe(result.as_ref().err().copied(), now);
+                self.record_probe(result.as_ref().err().copied(), now);
                 let change = self
                     .shared
                     .lease
                     .on_read(result, now, &self.shared.settings);
-                self.lease_changed(change, now, actions);
+                self.apply_lease_change(change, now, actions);
             }
             CoordinatorEvent::LeaseWritten(result) => {
-                self.note_probe(result.as_ref().err().copied(), now);
+                self.record_probe(result.as_ref().err().copied(), now);
                 let change = self
                     .shared
                     .lease
                     .on_written(result, now, &self.shared.settings);
-                self.lease_changed(change, now, actions);
+                self.apply_lease_change(change, now, actions);
             }
             store @ (CoordinatorEvent::PlacementRead(_)
             | CoordinatorEvent::PlacementWritten(_)
             | CoordinatorEvent::QuotasRead(_)
             | CoordinatorEvent::QuotaChanged(..)
-            | CoordinatorEvent::QuotaWritten(..)) => self.take_in_record(store, now, actions),
+            | CoordinatorEvent::QuotaWritten(..)) => self.apply_store_event(store, now, actions),
             runner @ (CoordinatorEvent::OrderAnswered { .. }
             | CoordinatorEvent::InventoryRead { .. }
             | CoordinatorEvent::LoadReported(..)
-            | CoordinatorEvent::InventoryHolds(..)
-            | CoordinatorEvent::RunnerSilent(..)) => {
-                self.take_in_runner(runner, now, configuration);
+            | CoordinatorEvent::InventoryUnchanged(..)
+            | CoordinatorEvent::RunnerUnanswered(..)) => {
+                self.apply_runner_event(runner, now, configuration);
             }
         }
         None
     }
 
-    pub(super) fn demanded(
+    pub(super) fn apply_demand(
         &mut self,
         gateway: DaemonName,
         demand: Demand,
         now: Timestamp,
-    ) -> Asked {
+    ) -> GatewayQuery {
         let artifact = demand.artifact.clone();
         let known = demand.known;
         if self.shared.demands.is_running(&artifact) {
-            // Demand of running requests is renewed rarely, so a pause in it is no idle time.
+            // Demand of running requests is renewed rarely, so the time between renewals is not
+            // idle time.
             self.shared.keep_alive.record_use(&artifact, now);
             self.shared.keep_alive.record_use(&artifact.base(), now);
         }
         if demand.waiting > 0 || demand.running > 0 || demand.arrivals > 0 {
-            // An adapter keeps its base in use as well.
+            // Use of an adapter counts as use of its base.
             let keep_alive = &mut self.shared.keep_alive;
             keep_alive.record_arrival(&artifact, now);
             keep_alive.record_arrival(&artifact.base(), now);
@@ -116,22 +117,22 @@
             self.touch([artifact.clone()]);
         }
         self.changed |= change == DemandChange::Wanted;
-        Asked {
+        GatewayQuery {
             gateway,
             artifact,
             known,
         }
     }
 
-    /// Has the next plan look at some artifacts.
+    /// Marks artifacts for examination by the next plan.
     fn touch(&mut self, artifacts: impl IntoIterator<Item = ArtifactId>) {
         if let Some(leading) = &mut self.leading {
             leading.touched.extend(artifacts);
         }
     }
 
-    /// Takes in an answer of the store about placement or quotas.
-    pub(super) fn take_in_record(
+    /// Applies a store response about the placement or a quota.
+    pub(super) fn apply_store_event(
         &mut self,
         event: CoordinatorEvent,
         now: Timestamp,
@@ -162,9 +163,9 @@
             _ => None,
         };
         if fault.is_some_and(StoreFault::is_failure) {
-            self.shared.store.failed(now);
+            self.shared.store.record_failure(now);
         } else {
-            self.shared.store.answered(now);
+            self.shared.store.record_success(now);
         }
         let Some(leading) = &mut self.leading else {
             return;
@@ -192,13 +193,13 @@
         };
         match change {
             PlacementChange::None => {}
-            PlacementChange::Lost(term) => leading.note_term(term),
+            PlacementChange::Lost(term) => leading.observe_term(term),
             PlacementChange::Fenced => actions.push(CoordinatorAction::Lead(leading.term)),
         }
     }
 
-    /// Takes in what a runner or its observer says.
-    pub(super) fn take_in_runner(
+    /// Applies an event from a runner or its observer.
+    pub(super) fn apply_runner_event(
         &mut self,
         event: CoordinatorEvent,
         now: Timestamp,
@@ -222,22 +223,22 @@
                     runner.report = report;
                 }
             }
-            CoordinatorEvent::InventoryHolds(runner, version) => {
+            CoordinatorEvent::InventoryUnchanged(runner, version) => {
                 if let Some(runner) = leading.runners.get_mut(&runner) {
-                    runner.observed(version, now);
+                    runner.confirm_inventory(version, now);
                 }
             }
-            CoordinatorEvent::RunnerSilent(runner) => {
+            CoordinatorEvent::RunnerUnanswered(runner) => {
                 if let Some(runner) = leading.runners.get_mut(&runner) {
-                    runner.doubt();
+                    runner.mark_unconfirmed();
                 }
             }
             _ => {}
         }
     }
 
-    /// Notes what the end of an operation on the lease says about the store.
-    fn note_probe(&mut self, fault: Option<StoreFault>, now: Timestamp) {
+    /// Updates the store's health from the result of an operation on the lease.
+    fn record_probe(&mut self, fault: Option<StoreFault>, now: Timestamp) {
         if fault.is_some_and(StoreFault::is_failure) {
             self.shared.store.probe_failed(now);
         } else {
@@ -245,7 +246,7 @@
         }
     }
 
-    pub(super) fn lease_changed(
+    pub(super) fn apply_lease_change(
         &mut self,
         change: LeaseChange,
         now: Timestamp,
@@ -254,7 +255,7 @@
         match change {
             LeaseChange::None => {}
             LeaseChange::Lost => self.resign(actions),
-            LeaseChange::Taken(term) => {
+            LeaseChange::Acquired(term) => {
                 self.resign(actions);
                 let generator = ChaCha8Rng::seed_from_u64(self.generator.random());
                 let mut leading = Leading::new(
--- a/crates/control/src/coordinator/focus.rs
+++ b/crates/control/src/coordinator/focus.rs
@@ -10,7 +10,7 @@
 use flaxward_types::records::{QuotaSubject, Slot};
 
 use super::leading::{Context, Leading};
-use super::runner::Use;
+use super::runner::Availability;
 use super::slots::subject_of;
 
 /// Whole slices in which all artifacts that are wanted or held are looked at once. Plans between
@@ -39,7 +39,7 @@
 
 /// Things to look at in a round of housekeeping, so that all are in so many of them.
 fn round_size(all: usize, rounds: usize, context: &Context) -> usize {
-    let least = context.settings.least_slice * LEAST_SLICES_PER_ROUND;
+    let least = context.settings.min_slice * LEAST_SLICES_PER_ROUND;
     all.div_ceil(rounds).max(least)
 }
 
@@ -77,7 +77,7 @@
         } else {
             usize::MAX
         };
-        all.div_ceil(slices).max(context.settings.least_slice)
+        all.div_ceil(slices).max(context.settings.min_slice)
     }
 
     /// Artifacts whose wants are worked out anew although nothing has touched them.
@@ -102,11 +102,11 @@
     fn touch_by_runners(&mut self, context: &Context) {
         for (name, runner) in &mut self.runners {
             let serves = runner.serves(context.now) && !self.drained.contains(name);
-            let use_now = Use {
+            let availability = Availability {
                 serves,
                 takes_loads: serves && runner.sealed_boot().is_some(),
             };
-            if std::mem::replace(&mut runner.last_use, use_now) == use_now {
+            if std::mem::replace(&mut runner.last_availability, availability) == availability {
                 continue;
             }
             let slots = self.placement.slots().on_runner(name);
@@ -160,7 +160,7 @@
         subjects.extend(self.contested.iter().cloned());
         self.quotas_due.extend(self.placement.take_changed());
         if context.may_record {
-            self.quotas_due.append(&mut self.unstepped);
+            self.quotas_due.append(&mut self.unwritten_quotas);
         }
         let due = std::iter::from_fn(|| self.quotas_due.pop_first());
         subjects.extend(due.take(QUOTAS_PER_PLAN));
@@ -169,7 +169,7 @@
         }
         // What is wanted no longer may have been asked for.
         let concerned = focus.iter().filter(|artifact| {
-            self.wanted.contains_key(artifact) || self.sent_on.contains_key(artifact)
+            self.wanted.contains_key(artifact) || self.redirected_since.contains_key(artifact)
         });
         subjects.extend(concerned.map(subject_of));
         subjects.insert(QuotaSubject::WeightStore);
--- a/crates/control/src/coordinator/holdings.rs
+++ b/crates/control/src/coordinator/holdings.rs
@@ -1,4 +1,4 @@
-//! What the runners of the zone hold, found by artifact. Kept up to date with each inventory.
+//! Index of the artifacts on the zone's runners, updated with each inventory.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 
 use super::rounds::following;
 
-/// Artifacts that are loaded, loading or unloading somewhere.
+/// Artifacts that are loaded, loading or unloading on any runner.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct Holdings {
     by_artifact: BTreeMap<ArtifactId, BTreeMap<RunnerName, HeldState>>,
@@ -15,7 +15,7 @@
 }
 
 impl Holdings {
-    /// The runners that hold an artifact, in order.
+    /// The runners that have an artifact, in order.
     pub(super) fn of(
         &self,
         artifact: &ArtifactId,
@@ -24,28 +24,28 @@
         runners.map(|(name, state)| (name, *state))
     }
 
-    /// Whether any runner holds an artifact.
+    /// Whether any runner has an artifact.
     pub(super) fn contains(&self, artifact: &ArtifactId) -> bool {
         self.by_artifact.contains_key(artifact)
     }
 
-    /// How far an artifact on a runner is.
+    /// The state of an artifact on a runner.
     pub(super) fn state(&self, artifact: &ArtifactId, name: &RunnerName) -> Option<HeldState> {
         self.by_artifact.get(artifact)?.get(name).copied()
     }
 
-    /// The artifacts that a runner holds, in order.
+    /// The artifacts on a runner, in order.
     pub(super) fn on(&self, name: &RunnerName) -> impl Iterator<Item = &ArtifactId> + use<'_> {
-        let held = self.by_runner.get(name).into_iter().flatten();
-        held.map(|(artifact, _)| artifact)
+        let entries = self.by_runner.get(name).into_iter().flatten();
+        entries.map(|(artifact, _)| artifact)
     }
 
-    /// Number of artifacts held.
+    /// Number of distinct artifacts.
     pub(super) fn len(&self) -> usize {
         self.by_artifact.len()
     }
 
-    /// The artifacts that follow one in their order, round and round, with the runners of each.
+    /// All artifacts in cyclic order, starting after the given one, with the runners of each.
     pub(super) fn following(
         &self,
         last: Option<&ArtifactId>,
@@ -53,7 +53,7 @@
         following(&self.by_artifact, last)
     }
 
-    /// Takes in what a runner holds now. Returns the artifacts of which something is new.
+    /// Replaces the entries of a runner. Returns the artifacts whose state has changed.
     pub(super) fn replace<'a>(
         &mut self,
         name: &RunnerName,
@@ -61,12 +61,12 @@
     ) -> Vec<ArtifactId> {
         let mut changed = Vec::new();
         let now: BTreeMap<ArtifactId, HeldState> = holdings
-            .map(|held| (held.artifact.clone(), held.state))
+            .map(|entry| (entry.artifact.clone(), entry.state))
             .collect();
         let before = self.by_runner.remove(name).unwrap_or_default();
         for artifact in before.keys() {
             if !now.contains_key(artifact) {
-                self.take_out(artifact, name);
+                self.remove_entry(artifact, name);
                 changed.push(artifact.clone());
             }
         }
@@ -83,12 +83,12 @@
         changed
     }
 
-    /// Forgets a runner. Returns the artifacts that it held.
-    pub(super) fn forget(&mut self, name: &RunnerName) -> Vec<ArtifactId> {
+    /// Removes a runner. Returns the artifacts that it had.
+    pub(super) fn remove_runner(&mut self, name: &RunnerName) -> Vec<ArtifactId> {
         self.replace(name, std::iter::empty())
     }
 
-    fn take_out(&mut self, artifact: &ArtifactId, name: &RunnerName) {
+    fn remove_entry(&mut self, artifact: &ArtifactId, name: &RunnerName) {
         if let Some(runners) = self.by_artifact.get_mut(artifact) {
             runners.remove(name);
             if runners.is_empty() {
--- a/crates/control/src/coordinator/interface.rs
+++ b/crates/control/src/coordinator/interface.rs
@@ -1,4 +1,4 @@
-//! What the coordinator is told and what it asks for.
+//! Events, actions and settings of the coordinator.
 
 use std::time::Duration;
 
@@ -9,30 +9,30 @@
 use flaxward_types::routing::{AnswerVersion, Demand, RouteAnswer};
 use flaxward_types::{ArtifactId, DaemonName, OrderId, ResultCode, Revision, RunnerName, Term};
 
-/// What steers a coordinator. The defaults of durations and speeds are those of the settings file.
+/// Settings of a coordinator. The defaults of durations and speeds are those of the settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CoordinatorSettings {
-    /// How long a renewal of the zone lease holds.
+    /// How long the zone lease is valid after a renewal.
     pub lease_duration: Duration,
     /// Time between renewals.
     pub lease_renewal: Duration,
-    /// How much earlier the holder stops recording decisions, for clocks that drift.
+    /// How much earlier than its expiry the holder stops writing records, to allow for clock drift.
     pub clock_drift: Duration,
     /// Time after which an order or inventory read without an answer is sent again.
     pub order_retry: Duration,
-    /// Time between reads of a sealed runner's inventory while an order is in progress there.
+    /// Interval between reads of a sealed runner's inventory while an order is in progress there.
     pub inventory_poll: Duration,
-    /// Time between reads of an idle runner's inventory, by its observer.
+    /// Interval at which a runner's observer reads its inventory while the runner is idle.
     pub inventory_refresh: Duration,
-    /// Time after which a load counts as stuck and is tried elsewhere.
+    /// Time after which a load counts as stuck and is tried on another runner.
     pub load_timeout: Duration,
     /// Machines tried for one artifact before its waiting requests are refused.
     pub load_tries: u32,
-    /// First pause after all tries failed; doubles with each further failure.
+    /// First backoff after all tries failed; doubles with each further failure.
     pub load_backoff: Duration,
-    /// Time after which a demand of requests that wait is forgotten if it is not renewed.
+    /// Time after which the demand of waiting requests expires if it is not renewed.
     pub demand_expiry: Duration,
-    /// The same while requests run and none waits; such a demand is renewed rarely.
+    /// The same while requests run and none waits: such a demand is renewed less often.
     pub running_demand_expiry: Duration,
     /// Assumed speed of a load from the weight store, in bytes a second, until one is measured.
     pub remote_bytes_per_second: u64,
@@ -40,9 +40,9 @@
     pub disk_bytes_per_second: u64,
     /// Assumed speed of a load from main memory, in bytes a second, until one is measured.
     pub memory_bytes_per_second: u64,
-    /// Things of one kind that a plan or a round of housekeeping looks at besides what events have
-    /// touched, at least.
-    pub least_slice: usize,
+    /// Minimum number of items of one kind that a plan or a housekeeping round examines in addition
+    /// to those that events have touched.
+    pub min_slice: usize,
 }
 
 impl Default for CoordinatorSettings {
@@ -62,25 +62,25 @@
             remote_bytes_per_second: 1 << 30,
             disk_bytes_per_second: 4 << 30,
             memory_bytes_per_second: 16 << 30,
-            least_slice: 8,
+            min_slice: 8,
         }
     }
 }
 
-/// Why a read or write of the store gave no plain result. A driver settles a lost answer by the
+/// Why a read or write of the store gave no definite result. A driver settles a lost answer by the
 /// operation id first, and reports [`StoreFault::Unknown`] only if that fails as well.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreFault {
-    /// Certainly not carried out: the store is down or refused.
+    /// Not carried out: the store is down or refused.
     Unavailable,
-    /// The object has changed (or exists already): read it again.
+    /// The object has changed or exists already, and must be read again.
     Conflict,
-    /// May have been carried out: read it again before acting on it.
+    /// May have been carried out; the object must be read again before acting on it.
     Unknown,
 }
 
 impl StoreFault {
-    /// Whether the store gave no answer at all; a conflict is an answer.
+    /// Whether the store did not answer; a conflict is an answer.
     #[must_use]
     pub fn is_failure(self) -> bool {
         self != Self::Conflict
@@ -90,35 +90,35 @@
 /// Why a runner gave no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineFault {
-    /// It certainly saw nothing.
+    /// The request did not reach it.
     Unreachable,
-    /// It may have acted.
+    /// The request may have been carried out.
     Unknown,
 }
 
-/// What happened.
+/// An event that the coordinator handles.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CoordinatorEvent {
     /// Time has passed; sent at least every 50 ms.
     Tick,
-    /// This daemon's place among the live members of the zone: 0 takes the lease when it is free,
-    /// 1 stands by, others leave the store alone.
+    /// This daemon's rank among the live members of the zone: 0 acquires the lease when it is free,
+    /// 1 is on standby, others do not access the lease.
     Rank(usize),
     /// The lease was read; `None` if there is none yet.
     LeaseRead(Result<Option<(Revision, ZoneLease)>, StoreFault>),
     /// The lease was written at this revision.
     LeaseWritten(Result<Revision, StoreFault>),
-    /// The slots were read; `None` if there is no record yet.
+    /// The placement record was read; `None` if there is none yet.
     PlacementRead(Result<Option<(Revision, ZonePlacement)>, StoreFault>),
-    /// The slots were written at this revision.
+    /// The placement record was written at this revision.
     PlacementWritten(Result<Revision, StoreFault>),
     /// All quotas were read.
     QuotasRead(Result<Vec<(Revision, Quota)>, StoreFault>),
-    /// A quota was changed by someone, or read again.
+    /// A quota was changed by any writer, or read again.
     QuotaChanged(Revision, Quota),
     /// A quota was written at this revision.
     QuotaWritten(QuotaSubject, Result<Revision, StoreFault>),
-    /// The machine list of this zone. A machine that is missing is gone for good.
+    /// The machine list of this zone. A machine missing from it has been removed permanently.
     Machines(Vec<Machine>),
     /// A runner answered an order.
     OrderAnswered {
@@ -133,34 +133,35 @@
     InventoryRead {
         /// The runner.
         runner: RunnerName,
-        /// What it holds.
+        /// The inventory, or why it could not be read.
         inventory: Result<Inventory, EngineFault>,
     },
     /// A runner's load report was read.
     LoadReported(RunnerName, LoadReport),
-    /// A runner's observer has read its inventory again and found it as last told.
-    InventoryHolds(RunnerName, InventoryVersion),
+    /// A runner's observer has read its inventory again and found it unchanged since the last
+    /// report.
+    InventoryUnchanged(RunnerName, InventoryVersion),
     /// A runner did not answer its observer.
-    RunnerSilent(RunnerName),
-    /// A gateway wants something.
+    RunnerUnanswered(RunnerName),
+    /// A gateway reports its demand for an artifact.
     Demanded(DaemonName, Demand),
-    /// A gateway is gone; its demand is forgotten.
+    /// A gateway has left; its demand is removed.
     GatewayGone(DaemonName),
-    /// This daemon is stopping: hand the lease back.
+    /// This daemon is stopping and must release the lease.
     Stop,
 }
 
-/// What to do. Answers come back as events; at most one operation on the lease and one on the
-/// placement is outstanding at a time.
+/// An action to carry out. Results come back as events; at most one operation on the lease and one
+/// on the placement is outstanding at a time.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CoordinatorAction {
     /// Read the lease.
     ReadLease,
     /// Write the lease if it still has this version, or create it if `None`.
     WriteLease(Option<Revision>, ZoneLease),
-    /// Read the slots.
+    /// Read the placement record.
     ReadPlacement,
-    /// Write the slots if they still have this version, or create the record if `None`.
+    /// Write the placement record if it still has this version, or create it if `None`.
     WritePlacement(Option<Revision>, ZonePlacement),
     /// Read all quotas and then watch them.
     ReadQuotas,
@@ -184,64 +185,64 @@
         /// Its address.
         address: String,
     },
-    /// Tell a gateway how an artifact stands.
+    /// Send a gateway the current routes of an artifact.
     Answer(DaemonName, RouteAnswer),
-    /// Tell a gateway that an answer which it holds still holds.
+    /// Confirm to a gateway that the answer it has is still valid.
     Confirm(DaemonName, AnswerVersion),
     /// This daemon coordinates the zone under this term from now on.
     Lead(Term),
     /// This daemon no longer coordinates the zone.
     Resign,
-    /// The lease is handed back, or was never held: the daemon may exit.
+    /// The lease has been released or was not held: the daemon may exit.
     Stopped,
-    /// Note a decision for `explain` and for the log.
+    /// Record a decision for `explain` and for the log.
     Record(Decision),
 }
 
 /// One recorded decision about an artifact.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Decision {
-    /// About what.
+    /// The artifact that it concerns.
     pub artifact: ArtifactId,
     /// What was decided.
     pub kind: DecisionKind,
 }
 
-/// What was decided.
+/// Kinds of decisions.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DecisionKind {
-    /// To load it on a runner, with the time expected in milliseconds.
+    /// The artifact is to be loaded on a runner.
     Load {
-        /// Where.
+        /// The runner.
         runner: RunnerName,
-        /// Time to ready expected, in milliseconds.
+        /// Expected time until it is ready, in milliseconds.
         estimate_ms: u64,
     },
-    /// It is ready on a runner, after this many milliseconds.
+    /// The artifact is ready on a runner.
     Ready {
-        /// Where.
+        /// The runner.
         runner: RunnerName,
         /// Time since the decision to load it, in milliseconds.
         took_ms: u64,
     },
-    /// To unload it from a runner.
+    /// The artifact is to be unloaded from a runner.
     Unload {
-        /// Where.
+        /// The runner.
         runner: RunnerName,
-        /// Why.
+        /// The reason.
         reason: UnloadReason,
     },
-    /// It is confirmed gone from a runner.
+    /// The runner has confirmed that it no longer has the artifact.
     Unloaded {
-        /// Where.
+        /// The runner.
         runner: RunnerName,
     },
     /// A load failed or is stuck.
     LoadFailed {
-        /// Where.
+        /// The runner.
         runner: RunnerName,
     },
-    /// Not to load it now.
+    /// The artifact is not loaded for now.
     Refuse(ResultCode),
 }
 
@@ -250,12 +251,12 @@
 pub enum UnloadReason {
     /// Idle for longer than its keep-alive.
     Idle,
-    /// Its memory is needed for something wanted more.
+    /// Its memory is needed for an artifact with higher demand.
     Evicted,
-    /// The rule for copies allows fewer now, or it is no longer configured.
+    /// The replica rule allows fewer replicas now, or it is no longer configured.
     Rule,
     /// Its runner is leaving.
     Leaving,
-    /// It is on a runner without a slot, such as after a change of zone.
+    /// It has no slot on its runner, for example after the runner has changed zone.
     NoSlot,
 }
--- a/crates/control/src/coordinator/journal.rs
+++ b/crates/control/src/coordinator/journal.rs
@@ -1,4 +1,4 @@
-//! The last decisions about each artifact, for `explain`.
+//! The most recent decisions about each artifact, for `explain`.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -7,28 +7,28 @@
 
 use super::interface::Decision;
 
-/// Decisions kept for each artifact.
-const KEPT_PER_ARTIFACT: usize = 16;
+/// Maximum number of decisions kept for each artifact.
+const MAX_DECISIONS_PER_ARTIFACT: usize = 16;
 
-/// The last decisions.
+/// The most recent decisions by artifact.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Journal {
     by_artifact: BTreeMap<ArtifactId, VecDeque<(Timestamp, Decision)>>,
 }
 
 impl Journal {
-    pub(super) fn note(&mut self, decision: Decision, now: Timestamp) {
+    pub(super) fn record(&mut self, decision: Decision, now: Timestamp) {
         let ring = self
             .by_artifact
             .entry(decision.artifact.clone())
             .or_default();
-        if ring.len() == KEPT_PER_ARTIFACT {
+        if ring.len() == MAX_DECISIONS_PER_ARTIFACT {
             ring.pop_front();
         }
         ring.push_back((now, decision));
     }
 
-    /// Decisions about a model's artifacts with their age, latest first.
+    /// Decisions about a model's artifacts with their age, most recent first.
     pub(super) fn explain(&self, model: &ModelName, now: Timestamp) -> Vec<(Duration, Decision)> {
         let mut decisions: Vec<(Duration, Decision)> = self
             .by_artifact
--- a/crates/control/src/coordinator/leading.rs
+++ b/crates/control/src/coordinator/leading.rs
@@ -1,4 +1,4 @@
-//! All that a daemon knows while it coordinates the zone, and how events change it.
+//! The state of a daemon while it coordinates the zone, and how events change it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -28,10 +28,11 @@
 use crate::configuration::Configuration;
 use crate::keep_alive::KeepAlive;
 
-/// Time that a machine which was never listed is waited for before its slots are given up.
+/// Time to wait for a machine that has not been listed under this term before its slots are given
+/// up.
 const UNLISTED_GRACE: Duration = Duration::from_secs(10);
 
-/// What a step may look at besides the coordinator's own state.
+/// Input of a step besides the coordinator's own state.
 #[derive(Clone, Copy)]
 pub(super) struct Context<'a> {
     pub(super) now: Timestamp,
@@ -41,28 +42,29 @@
     pub(super) zones: &'a [ZoneName],
     pub(super) demands: &'a DemandTable,
     pub(super) keep_alive: &'a KeepAlive,
-    /// Whether records may be written now: the lease holds by this daemon's own clock.
+    /// Whether records may be written now: the lease is valid by this daemon's own clock.
     pub(super) may_record: bool,
-    /// Whether the store has failed for a while, so that nothing new can be recorded.
+    /// Whether the store counts as unavailable, so that no new record can be written.
     pub(super) in_outage: bool,
     pub(super) weakness: Weakness,
 }
 
 impl Context<'_> {
-    /// Whether any configuration is in force. Without one, nothing may be taken as not configured.
+    /// Whether any configuration is in force. Without one, no artifact may be treated as
+    /// unconfigured.
     pub(super) fn has_configuration(&self) -> bool {
         self.configuration.revision() > Revision(0)
     }
 }
 
-/// Why an artifact that is wanted is not being loaded.
+/// Why a wanted artifact is not being loaded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Block {
-    /// Something else has to happen first: a read, a write, an unload.
+    /// Another operation must complete first: a read, a write or an unload.
     Waiting,
-    /// Refused, and when to ask again.
+    /// Refused, with the time after which a caller may retry.
     Refused(ResultCode, Duration),
-    /// Other zones have units.
+    /// Other zones have quota units for it.
     Elsewhere(Vec<ZoneName>),
 }
 
@@ -81,8 +83,8 @@
     pub(super) placement: PlacementKeeper,
     pub(super) quotas: QuotaBook,
     pub(super) runners: BTreeMap<RunnerName, Runner>,
-    /// Machines that are gone and still have slots.
-    pub(super) gone: BTreeSet<RunnerName>,
+    /// Machines that have been removed and still have slots.
+    pub(super) departed: BTreeSet<RunnerName>,
     pub(super) loads: Loads,
     pub(super) unloads: BTreeMap<Slot, Unload>,
     pub(super) failures: Failures,
@@ -91,44 +93,44 @@
     pub(super) wanted: WantTable,
     /// Artifacts that events have touched since the last plan.
     pub(super) touched: BTreeSet<ArtifactId>,
-    /// Where the slices of everything have got to.
+    /// Positions of the incremental scans.
     pub(super) cursors: Cursors,
     /// The artifacts that requests name by default, models first.
     pub(super) configured_artifacts: Vec<ArtifactId>,
-    /// Subjects whose rules or slots have changed since they were last looked at.
+    /// Subjects whose rules or slots have changed since they were last processed.
     pub(super) quotas_due: BTreeSet<QuotaSubject>,
-    /// Subjects with more slots than their goals, or with units that others ask for.
+    /// Subjects with more slots than their goals, or with units that other zones request.
     pub(super) contested: BTreeSet<QuotaSubject>,
-    /// Subjects whose quotas could not be written when they were looked at.
-    pub(super) unstepped: BTreeSet<QuotaSubject>,
-    /// Slots found to be of no use and free; looked at again in each plan.
-    pub(super) useless: BTreeSet<Slot>,
+    /// Subjects whose quotas could not be written when they were last processed.
+    pub(super) unwritten_quotas: BTreeSet<QuotaSubject>,
+    /// Empty slots that serve no purpose; checked again in each plan.
+    pub(super) unused_slots: BTreeSet<Slot>,
     pub(super) blocks: BTreeMap<ArtifactId, Block>,
-    /// Since when callers for an artifact have been sent to the zones that have its units.
-    pub(super) sent_on: BTreeMap<ArtifactId, Timestamp>,
+    /// Since when callers of an artifact have been redirected to the zones that have its units.
+    pub(super) redirected_since: BTreeMap<ArtifactId, Timestamp>,
     pub(super) ready_since: BTreeMap<Slot, Timestamp>,
     pub(super) surplus_since: BTreeMap<ArtifactId, Timestamp>,
     pub(super) answers: Answers,
-    /// When a version was last unloaded to make way for another one of its model.
-    pub(super) made_way: BTreeMap<ArtifactId, Timestamp>,
+    /// When a version was last unloaded in favour of another version of its model.
+    pub(super) replaced_at: BTreeMap<ArtifactId, Timestamp>,
     pub(super) holdings: Holdings,
     pub(super) policy: PolicySpec,
     pub(super) drained: BTreeSet<RunnerName>,
     pub(super) configured: Option<Revision>,
     pub(super) next_housekeeping: Timestamp,
     pub(super) next_slices: Timestamp,
-    /// The plan in hand takes whole slices.
+    /// Whether the current plan examines full slices.
     pub(super) whole_slices: bool,
     /// Replicas that the rules keep loaded in this zone.
     pub(super) kept: BTreeMap<ArtifactId, u32>,
     /// Artifacts to load ahead of need.
     pub(super) prewarmed: BTreeSet<ArtifactId>,
-    /// Units down to which slots are being freed.
+    /// Number of units to which the slots of a subject are being reduced.
     pub(super) goals: BTreeMap<QuotaSubject, u32>,
-    /// Quotas to claim for homes.
+    /// Quotas to claim for the home replicas.
     pub(super) homes_wanted: BTreeSet<QuotaSubject>,
-    /// Highest term seen anywhere; a higher one than the own means that this term is over.
-    highest: Term,
+    /// Highest term seen anywhere; if it exceeds the own term, the own term has ended.
+    max_term: Term,
     pub(super) actions: Vec<CoordinatorAction>,
     pub(super) generator: ChaCha8Rng,
 }
@@ -148,7 +150,7 @@
             placement: PlacementKeeper::new(term, weakness),
             quotas: QuotaBook::new(term, zone.clone(), weakness),
             runners: BTreeMap::new(),
-            gone: BTreeSet::new(),
+            departed: BTreeSet::new(),
             loads: Loads::new(),
             unloads: BTreeMap::new(),
             failures: Failures::default(),
@@ -160,14 +162,14 @@
             configured_artifacts: Vec::new(),
             quotas_due: BTreeSet::new(),
             contested: BTreeSet::new(),
-            unstepped: BTreeSet::new(),
-            useless: BTreeSet::new(),
+            unwritten_quotas: BTreeSet::new(),
+            unused_slots: BTreeSet::new(),
             blocks: BTreeMap::new(),
-            sent_on: BTreeMap::new(),
+            redirected_since: BTreeMap::new(),
             ready_since: BTreeMap::new(),
             surplus_since: BTreeMap::new(),
             answers: Answers::default(),
-            made_way: BTreeMap::new(),
+            replaced_at: BTreeMap::new(),
             holdings: Holdings::default(),
             policy: PolicySpec::default(),
             drained: BTreeSet::new(),
@@ -179,13 +181,13 @@
             prewarmed: BTreeSet::new(),
             goals: BTreeMap::new(),
             homes_wanted: BTreeSet::new(),
-            highest: term,
+            max_term: term,
             actions: Vec::new(),
             generator,
         }
     }
 
-    /// Takes in the machine list.
+    /// Applies the machine list.
     pub(super) fn apply_machines(&mut self, machines: &[Machine], now: Timestamp) {
         let mut listed = BTreeSet::new();
         for machine in machines {
@@ -206,41 +208,41 @@
                 runner.unlisted_since.get_or_insert(now);
             }
         }
-        self.gone.retain(|name| !listed.contains(name));
+        self.departed.retain(|name| !listed.contains(name));
         if now.since(self.since) >= UNLISTED_GRACE {
             let recorded = self.placement.slots().runners();
             let unknown = recorded.filter(|name| !self.runners.contains_key(*name));
-            self.gone.extend(unknown.cloned());
+            self.departed.extend(unknown.cloned());
         }
     }
 
-    /// Gives up machines that have left the list and answer no more. One that still answers still
-    /// holds what it holds, whatever a late list says.
-    pub(super) fn give_up_gone(&mut self, context: &Context) {
-        let patience = context.settings.order_retry * 2;
-        let silent = |runner: &Runner| runner.silent_since_unlisted(context.now) >= Some(patience);
-        let gone: Vec<RunnerName> = self
+    /// Removes machines that are no longer listed and no longer answer. A machine that still
+    /// answers still has its artifacts, even if an outdated list does not show it.
+    pub(super) fn remove_departed(&mut self, context: &Context) {
+        let timeout = context.settings.order_retry * 2;
+        let silent = |runner: &Runner| runner.silent_since_unlisted(context.now) >= Some(timeout);
+        let departed: Vec<RunnerName> = self
             .runners
             .iter()
             .filter(|(_, runner)| silent(runner))
             .map(|(name, _)| name.clone())
             .collect();
-        for name in gone {
+        for name in departed {
             self.runners.remove(&name);
-            self.touched.extend(self.holdings.forget(&name));
+            self.touched.extend(self.holdings.remove_runner(&name));
             let slots = self.placement.on_runner(&name);
             self.touched.extend(slots.map(|slot| slot.artifact.clone()));
             self.loads.retain(|slot, _| slot.runner != name);
             self.unloads.retain(|slot, _| slot.runner != name);
             self.ready_since.retain(|slot, _| slot.runner != name);
-            self.gone.insert(name);
+            self.departed.insert(name);
         }
         let placement = &self.placement;
-        self.gone
+        self.departed
             .retain(|name| placement.on_runner(name).next().is_some());
     }
 
-    /// Takes in a runner's inventory. Returns whether it says anything new.
+    /// Applies the result of an inventory read. Returns whether the inventory has changed.
     pub(super) fn apply_inventory(
         &mut self,
         name: &RunnerName,
@@ -250,7 +252,7 @@
         let Some(runner) = self.runners.get_mut(name) else {
             return false;
         };
-        runner.read_answered(inventory.is_ok(), now);
+        runner.record_read(inventory.is_ok(), now);
         let Ok(inventory) = inventory else {
             return false;
         };
@@ -272,11 +274,11 @@
                 let changed = self.holdings.replace(name, runner.holdings());
                 self.touched.extend(changed);
             }
-            Observation::Overtaken(term) => self.note_term(term),
+            Observation::Superseded(term) => self.observe_term(term),
         }
     }
 
-    /// Seals runners, sends orders that are due, and reads inventories.
+    /// Seals runners, sends due orders, and reads inventories.
     pub(super) fn drive_runners(&mut self, context: &Context) {
         let verifying = |runner: &Runner| matches!(runner.phase, Phase::Verifying { .. });
         let unsealed = self.runners.iter();
@@ -341,25 +343,25 @@
         runner.serves(now) && !self.drained.contains(name)
     }
 
-    /// Notes a term seen in a record or at a runner.
-    pub(super) fn note_term(&mut self, term: Term) {
-        self.highest = self.highest.max(term);
+    /// Records a term seen in a stored record or at a runner.
+    pub(super) fn observe_term(&mut self, term: Term) {
+        self.max_term = self.max_term.max(term);
     }
 
-    /// The term of a later coordinator, if one has been noticed.
-    pub(super) fn overtaken_by(&self) -> Option<Term> {
-        let highest = self.highest.max(self.quotas.highest());
-        (highest > self.term).then_some(highest)
+    /// The term of a later coordinator, if one has been seen.
+    pub(super) fn superseded_by(&self) -> Option<Term> {
+        let max_term = self.max_term.max(self.quotas.highest());
+        (max_term > self.term).then_some(max_term)
     }
 
-    /// Forgets a load.
-    pub(super) fn drop_load(&mut self, slot: &Slot) -> Option<Load> {
+    /// Removes a load.
+    pub(super) fn remove_load(&mut self, slot: &Slot) -> Option<Load> {
         let load = self.loads.remove(slot)?;
         self.touched.insert(slot.artifact.clone());
         Some(load)
     }
 
-    /// Notes a decision.
+    /// Records a decision.
     pub(super) fn record(&mut self, artifact: &ArtifactId, kind: DecisionKind) {
         self.actions.push(CoordinatorAction::Record(Decision {
             artifact: artifact.clone(),
@@ -368,7 +370,7 @@
     }
 
     /// A load in progress on a runner that can still finish it.
-    pub(super) fn live_load(&self, slot: &Slot, now: Timestamp) -> Option<&Load> {
+    pub(super) fn active_load(&self, slot: &Slot, now: Timestamp) -> Option<&Load> {
         self.loads
             .get(slot)
             .filter(|_| self.takes_loads(&slot.runner, now))
--- a/crates/control/src/coordinator/lease.rs
+++ b/crates/control/src/coordinator/lease.rs
@@ -1,81 +1,81 @@
-//! Takes, renews and hands back the lease of the zone.
+//! Acquires, renews and releases the lease of the zone.
 //!
-//! The lease only keeps two coordinators from working against each other; safety rests on slots,
-//! quota and fence. A holder whose lease has lapsed by its own clock records nothing until the store
-//! has confirmed the lease again, but it goes on with what needs no record.
+//! The lease only prevents two coordinators from working against each other; safety depends on
+//! slots, quotas and fencing. A holder whose lease has expired by its own clock writes no records
+//! until the store has confirmed the lease again, but goes on with work that needs no record.
 
 use flaxward_types::records::ZoneLease;
 use flaxward_types::time::millis;
 use flaxward_types::{DaemonName, Revision, Term, Timestamp};
 
 use super::interface::{CoordinatorAction, CoordinatorSettings, StoreFault};
-use super::lease_observation::Observed;
+use super::lease_observation::ObservedLease;
 
-/// Share of the renewal interval after which a failed operation is tried again.
+/// A failed operation is retried after the renewal interval divided by this.
 const RETRIES_PER_RENEWAL: u32 = 4;
-/// Ranks from this one on leave the store alone.
+/// Daemons of this rank and above do not access the lease.
 const FIRST_PASSIVE_RANK: usize = 2;
 
-/// What an answer of the store means for the holder.
+/// Effect of a store response on the ownership of the lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LeaseChange {
-    /// Nothing to act on.
+    /// No change.
     None,
-    /// This daemon holds the lease from now on.
-    Taken(Term),
-    /// This daemon holds the lease no longer.
+    /// This daemon now holds the lease.
+    Acquired(Term),
+    /// This daemon no longer holds the lease.
     Lost,
 }
 
-/// The operation on the lease that is outstanding.
+/// An outstanding operation on the lease.
 #[derive(Clone, Debug)]
 enum Operation {
     Read,
-    Take { lease: ZoneLease, sent: Timestamp },
+    Acquire { lease: ZoneLease, sent: Timestamp },
     Renew { lease: ZoneLease, sent: Timestamp },
-    HandBack,
+    Release,
 }
 
 /// A lease that this daemon holds.
 #[derive(Clone, Debug)]
-struct Held {
+struct HeldLease {
     revision: Revision,
     lease: ZoneLease,
-    /// End of the lease by this daemon's clock, less the drift allowed.
+    /// End of the lease by this daemon's clock, less the allowed clock drift.
     valid_until: Timestamp,
     /// When the store last confirmed it.
     confirmed: Timestamp,
-    /// The outcome of the last write is unknown.
+    /// The outcome of the last write is unknown, so the lease must be read before the next write.
     read_first: bool,
 }
 
-/// Keeps the lease of one zone for one daemon.
+/// Manages the lease of one zone for one daemon.
 #[derive(Clone, Debug)]
 pub(super) struct LeaseKeeper {
-    me: DaemonName,
+    own_name: DaemonName,
     rank: Option<usize>,
     operation: Option<Operation>,
-    observed: Option<Observed>,
-    /// The last try to take the lease, if its outcome is unknown.
+    observed: Option<ObservedLease>,
+    /// The last attempt to acquire the lease, if its outcome is unknown.
     unsettled: Option<(ZoneLease, Timestamp)>,
-    held: Option<Held>,
-    /// Highest term seen anywhere; the next one taken is higher, also if the lease record was lost.
-    highest: Term,
+    held: Option<HeldLease>,
+    /// Highest term seen anywhere; the next term is higher even if the lease record was lost.
+    max_term: Term,
     next_step: Timestamp,
     stop_requested: Option<Timestamp>,
     stopped: bool,
 }
 
 impl LeaseKeeper {
-    pub(super) fn new(me: DaemonName) -> Self {
+    pub(super) fn new(own_name: DaemonName) -> Self {
         Self {
-            me,
+            own_name,
             rank: None,
             operation: None,
             observed: None,
             unsettled: None,
             held: None,
-            highest: Term(0),
+            max_term: Term(0),
             next_step: Timestamp::ZERO,
             stop_requested: None,
             stopped: false,
@@ -86,7 +86,7 @@
         self.rank = Some(rank);
     }
 
-    /// Asks for the lease to be handed back.
+    /// Requests the release of the lease.
     pub(super) fn stop(&mut self, now: Timestamp) {
         if self.stop_requested.is_none() {
             self.stop_requested = Some(now);
@@ -98,32 +98,32 @@
         self.stop_requested.is_some()
     }
 
-    /// Whether this daemon holds the lease as far as it knows.
+    /// Whether this daemon holds the lease to its own knowledge.
     pub(super) fn is_held(&self) -> bool {
         self.held.is_some()
     }
 
-    /// Whether decisions may be recorded: the lease holds by this daemon's own clock.
+    /// Whether records may be written: the lease is valid by this daemon's own clock.
     pub(super) fn may_record(&self, now: Timestamp) -> bool {
-        let valid = |held: &Held| !held.read_first && now < held.valid_until;
+        let valid = |held: &HeldLease| !held.read_first && now < held.valid_until;
         !self.stopping() && self.held.as_ref().is_some_and(valid)
     }
 
     /// Makes the next operation due now.
-    pub(super) fn hurry(&mut self, now: Timestamp) {
+    pub(super) fn step_at(&mut self, now: Timestamp) {
         self.next_step = now;
     }
 
     /// Gives up the lease because a higher term was seen elsewhere.
-    pub(super) fn lose(&mut self, later: Term, now: Timestamp) {
-        self.highest = self.highest.max(later);
+    pub(super) fn step_down(&mut self, later: Term, now: Timestamp) {
+        self.max_term = self.max_term.max(later);
         self.held = None;
         self.observed = None;
         self.next_step = now;
     }
 
-    /// The next operation on the lease, if one is due. `nonce` marks a new term's first record as
-    /// this process's own.
+    /// The next operation on the lease, if one is due. `nonce` identifies the first record of a new
+    /// term as written by this process.
     pub(super) fn step(
         &mut self,
         now: Timestamp,
@@ -138,8 +138,8 @@
             return Some(self.step_to_stop(now, requested, settings));
         }
         if let Some(held) = &self.held {
-            let lapsed = now >= held.valid_until && held.confirmed < held.valid_until;
-            if held.read_first || lapsed {
+            let expired = now >= held.valid_until && held.confirmed < held.valid_until;
+            if held.read_first || expired {
                 return Some(self.read());
             }
             return Some(self.renew(now, settings));
@@ -148,7 +148,7 @@
             return None;
         }
         if self.is_free(settings) {
-            return Some(self.take(now, settings, nonce));
+            return Some(self.acquire(now, settings, nonce));
         }
         Some(self.read())
     }
@@ -159,8 +159,8 @@
         requested: Timestamp,
         settings: &CoordinatorSettings,
     ) -> CoordinatorAction {
-        let given_up = now.since(requested) >= settings.lease_duration;
-        let Some(held) = self.held.as_ref().filter(|_| !given_up) else {
+        let timed_out = now.since(requested) >= settings.lease_duration;
+        let Some(held) = self.held.as_ref().filter(|_| !timed_out) else {
             self.stopped = true;
             return CoordinatorAction::Stopped;
         };
@@ -169,7 +169,7 @@
             renewals: held.lease.renewals + 1,
             ..held.lease.clone()
         };
-        self.operation = Some(Operation::HandBack);
+        self.operation = Some(Operation::Release);
         CoordinatorAction::WriteLease(Some(held.revision), lease)
     }
 
@@ -179,7 +179,10 @@
     }
 
     fn renew(&mut self, now: Timestamp, settings: &CoordinatorSettings) -> CoordinatorAction {
-        let held = self.held.as_ref().expect("only a holder renews");
+        let held = self
+            .held
+            .as_ref()
+            .expect("the lease is renewed only while it is held");
         let lease = ZoneLease {
             renewals: held.lease.renewals + 1,
             duration_ms: millis(settings.lease_duration),
@@ -193,7 +196,7 @@
         CoordinatorAction::WriteLease(Some(revision), lease)
     }
 
-    fn take(
+    fn acquire(
         &mut self,
         now: Timestamp,
         settings: &CoordinatorSettings,
@@ -202,29 +205,29 @@
         let record = self
             .observed
             .as_ref()
-            .and_then(|seen| seen.record().cloned());
-        let former = record.as_ref().map_or(Term(0), |(_, lease)| lease.term);
+            .and_then(|observed| observed.record().cloned());
+        let last_term = record.as_ref().map_or(Term(0), |(_, lease)| lease.term);
         let lease = ZoneLease {
-            holder: Some(self.me.clone()),
-            term: former.max(self.highest).next(),
+            holder: Some(self.own_name.clone()),
+            term: last_term.max(self.max_term).next(),
             duration_ms: millis(settings.lease_duration),
             renewals: nonce,
         };
-        self.operation = Some(Operation::Take {
+        self.operation = Some(Operation::Acquire {
             lease: lease.clone(),
             sent: now,
         });
         CoordinatorAction::WriteLease(record.map(|(revision, _)| revision), lease)
     }
 
-    /// Whether the lease as last read may be taken.
+    /// Whether the lease as last read may be acquired.
     fn is_free(&self, settings: &CoordinatorSettings) -> bool {
-        let is_stand_by = self.rank != Some(0);
+        let is_standby = self.rank != Some(0);
         let observed = self.observed.as_ref();
-        observed.is_some_and(|observed| observed.is_free(&self.me, is_stand_by, settings))
+        observed.is_some_and(|observed| observed.is_free(&self.own_name, is_standby, settings))
     }
 
-    /// The lease was read.
+    /// Handles the result of a read of the lease.
     pub(super) fn on_read(
         &mut self,
         result: Result<Option<(Revision, ZoneLease)>, StoreFault>,
@@ -258,7 +261,7 @@
         if let (Some((attempt, sent)), Some((revision, lease))) = (self.unsettled.take(), &record)
             && attempt == *lease
         {
-            return self.hold(*revision, attempt, sent, now, settings);
+            return self.on_acquired(*revision, attempt, sent, now, settings);
         }
         self.observe(record, now);
         if self.is_free(settings) {
@@ -267,7 +270,7 @@
         LeaseChange::None
     }
 
-    /// The lease was written.
+    /// Handles the result of a write of the lease.
     pub(super) fn on_written(
         &mut self,
         result: Result<Revision, StoreFault>,
@@ -275,8 +278,8 @@
         settings: &CoordinatorSettings,
     ) -> LeaseChange {
         match self.operation.take() {
-            Some(Operation::Take { lease, sent }) => match result {
-                Ok(revision) => return self.hold(revision, lease, sent, now, settings),
+            Some(Operation::Acquire { lease, sent }) => match result {
+                Ok(revision) => return self.on_acquired(revision, lease, sent, now, settings),
                 Err(fault) => {
                     self.observed = None;
                     self.unsettled = (fault == StoreFault::Unknown).then_some((lease, sent));
@@ -286,7 +289,7 @@
             Some(Operation::Renew { lease, sent }) => {
                 self.on_renewed(result, lease, sent, now, settings);
             }
-            Some(Operation::HandBack) => {
+            Some(Operation::Release) => {
                 if result == Err(StoreFault::Unavailable) {
                     self.retry(now, settings);
                 } else {
@@ -328,7 +331,7 @@
         }
     }
 
-    fn hold(
+    fn on_acquired(
         &mut self,
         revision: Revision,
         lease: ZoneLease,
@@ -339,7 +342,7 @@
         let term = lease.term;
         self.unsettled = None;
         self.observed = None;
-        self.held = Some(Held {
+        self.held = Some(HeldLease {
             revision,
             lease,
             valid_until: valid_until(sent, settings),
@@ -351,13 +354,13 @@
             self.next_step = now;
             return LeaseChange::None;
         }
-        LeaseChange::Taken(term)
+        LeaseChange::Acquired(term)
     }
 
     fn observe(&mut self, record: Option<(Revision, ZoneLease)>, now: Timestamp) {
         match &mut self.observed {
-            Some(observed) => observed.see(record, now),
-            None => self.observed = Some(Observed::new(record, now)),
+            Some(observed) => observed.update(record, now),
+            None => self.observed = Some(ObservedLease::new(record, now)),
         }
     }
 
--- a/crates/control/src/coordinator/lease_observation.rs
+++ b/crates/control/src/coordinator/lease_observation.rs
@@ -1,4 +1,4 @@
-//! What a stand-by sees of a lease, and when it may take it.
+//! The state of a lease that this daemon does not hold, and when the daemon may acquire it.
 
 use std::time::Duration;
 
@@ -7,29 +7,29 @@
 
 use super::interface::CoordinatorSettings;
 
-/// What was last read of a lease held by nobody or by someone else.
+/// The last read state of a lease that is free or held by another daemon.
 #[derive(Clone, Debug)]
-pub(super) struct Observed {
+pub(super) struct ObservedLease {
     record: Option<(Revision, ZoneLease)>,
-    /// When the record was first seen like this.
-    since: Timestamp,
-    /// When it was last seen like this.
-    read: Timestamp,
+    /// When the record was first read in this state.
+    first_read: Timestamp,
+    /// When it was last read in this state.
+    last_read: Timestamp,
 }
 
-impl Observed {
+impl ObservedLease {
     pub(super) fn new(record: Option<(Revision, ZoneLease)>, now: Timestamp) -> Self {
         Self {
             record,
-            since: now,
-            read: now,
+            first_read: now,
+            last_read: now,
         }
     }
 
-    /// Takes in what was read now.
-    pub(super) fn see(&mut self, record: Option<(Revision, ZoneLease)>, now: Timestamp) {
+    /// Records the result of a read.
+    pub(super) fn update(&mut self, record: Option<(Revision, ZoneLease)>, now: Timestamp) {
         if self.record == record {
-            self.read = now;
+            self.last_read = now;
         } else {
             *self = Self::new(record, now);
         }
@@ -40,23 +40,23 @@
         self.record.as_ref()
     }
 
-    /// Whether a daemon may take the lease.
+    /// Whether a daemon may acquire the lease.
     pub(super) fn is_free(
         &self,
-        me: &DaemonName,
-        is_stand_by: bool,
+        own_name: &DaemonName,
+        is_standby: bool,
         settings: &CoordinatorSettings,
     ) -> bool {
-        let unchanged = self.read.since(self.since);
+        let unchanged = self.last_read.since(self.first_read);
         let Some((_, lease)) = &self.record else {
-            return !is_stand_by || unchanged >= settings.lease_duration;
+            return !is_standby || unchanged >= settings.lease_duration;
         };
         match &lease.holder {
             None => true,
-            // Held by an earlier start of this daemon, whose orders this one knows nothing of.
-            Some(holder) if holder == me => true,
+            // Held by a former incarnation of this daemon, whose orders are not known to this one.
+            Some(holder) if holder == own_name => true,
             Some(_) => {
-                let grace = settings.clock_drift * if is_stand_by { 2 } else { 1 };
+                let grace = settings.clock_drift * if is_standby { 2 } else { 1 };
                 unchanged >= Duration::from_millis(lease.duration_ms) + grace
             }
         }
--- a/crates/control/src/coordinator/loads.rs
+++ b/crates/control/src/coordinator/loads.rs
@@ -10,16 +10,16 @@
 
 use super::interface::CoordinatorSettings;
 
-/// Loads up to this size, in bytes, are measured for their start and not for their speed.
+/// Loads up to this size, in bytes, update the startup time and not the transfer speed.
 const SMALL_LOAD_BYTES: u64 = 1 << 30;
 /// Weight of the latest measurement in the moving average of a speed, in percent.
 const SPEED_WEIGHT_PERCENT: u64 = 30;
-/// Longest pause after failed loads.
-const LONGEST_BACKOFF: Duration = Duration::from_mins(10);
-/// Tokens that the rate limit saves up at most.
+/// Maximum backoff after failed loads.
+const MAX_BACKOFF: Duration = Duration::from_mins(10);
+/// Maximum number of tokens in the bucket of the rate limit.
 const RATE_BURST: f64 = 1.0;
 
-/// Where the weights come from.
+/// Source of the weights.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Tier {
     /// Main memory of the machine.
@@ -31,7 +31,7 @@
 }
 
 impl Tier {
-    /// Where a machine with this inventory would take the weights of an artifact from.
+    /// The source from which a machine with this inventory loads the weights of an artifact.
     pub(super) fn of(artifact: &ArtifactId, inventory: &Inventory) -> Self {
         if inventory.in_memory.contains(artifact) {
             Self::Memory
@@ -43,12 +43,12 @@
     }
 }
 
-/// How far a load is.
+/// Stage of a load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
-    /// Waits for its slot, for memory, for its base or for a permit.
+    /// Waiting for its slot, for memory, for its base or for a permit.
     Queued,
-    /// The order is sent.
+    /// The order has been sent.
     Ordered,
     /// The engine has accepted it.
     Loading,
@@ -65,9 +65,9 @@
     pub(super) decided: Timestamp,
     /// When the order was sent.
     pub(super) started: Timestamp,
-    /// Time from the order to ready expected.
+    /// Expected time from the order until it is ready.
     pub(super) expected: Duration,
-    /// Rank in the queue: priority, then deadline.
+    /// Loads are queued by priority, then by deadline.
     pub(super) priority: u8,
     pub(super) deadline: Timestamp,
 }
@@ -78,7 +78,7 @@
         self.stage != Stage::Queued
     }
 
-    /// Time left until it is ready, as far as can be told.
+    /// Estimated time until it is ready.
     pub(super) fn remaining(&self, now: Timestamp) -> Duration {
         if !self.is_ordered() {
             return self.expected;
@@ -91,30 +91,30 @@
 /// All loads in progress.
 pub(super) type Loads = BTreeMap<Slot, Load>;
 
-/// Loads from the weight store that are ordered.
+/// Number of ordered loads from the weight store.
 pub(super) fn remote_in_progress(loads: &Loads) -> u32 {
     let remote = |load: &&Load| load.tier == Tier::Remote && load.is_ordered();
     u32::try_from(loads.values().filter(remote).count()).unwrap_or(u32::MAX)
 }
 
-/// Loads from the weight store that wait for a permit.
+/// Number of queued loads from the weight store.
 pub(super) fn remote_queued(loads: &Loads) -> u32 {
     let queued = |load: &&Load| load.tier == Tier::Remote && !load.is_ordered();
     u32::try_from(loads.values().filter(queued).count()).unwrap_or(u32::MAX)
 }
 
-/// What a load costs from one tier.
+/// Duration model of a load from one tier.
 #[derive(Clone, Copy, Debug)]
 struct Speed {
-    /// Time that a load takes however small it is, such as to warm up.
-    start: Duration,
+    /// Time that a load takes regardless of its size, such as for warm-up.
+    startup: Duration,
     bytes_per_second: u64,
 }
 
-/// Speeds measured.
+/// Measured load speeds by tier.
 ///
-/// A small load says how long any load takes, a large one how fast the bytes come. If small ones
-/// counted as speeds, the start of an adapter's load would make every model look slow.
+/// A small load measures the startup time, a large one the transfer speed. If small loads counted
+/// towards the speed, the startup time of an adapter's load would make every model appear slow.
 #[derive(Clone, Debug)]
 pub(super) struct Speeds {
     by_tier: BTreeMap<Tier, Speed>,
@@ -123,7 +123,7 @@
 impl Speeds {
     pub(super) fn new(settings: &CoordinatorSettings) -> Self {
         let assumed = |bytes_per_second| Speed {
-            start: Duration::ZERO,
+            startup: Duration::ZERO,
             bytes_per_second,
         };
         Self {
@@ -135,31 +135,31 @@
         }
     }
 
-    /// Time that a load takes.
+    /// Expected duration of a load.
     pub(super) fn duration(&self, tier: Tier, bytes: u64) -> Duration {
         let speed = self.by_tier.get(&tier);
         speed.map_or(Duration::ZERO, |speed| {
-            speed.start + transfer(bytes, speed.bytes_per_second)
+            speed.startup + transfer(bytes, speed.bytes_per_second)
         })
     }
 
-    /// Takes in a finished load.
-    pub(super) fn measured(&mut self, tier: Tier, bytes: u64, took: Duration) {
+    /// Updates the model with a finished load.
+    pub(super) fn record(&mut self, tier: Tier, bytes: u64, took: Duration) {
         let Some(speed) = self.by_tier.get_mut(&tier) else {
             return;
         };
         if bytes <= SMALL_LOAD_BYTES {
-            let start = took.saturating_sub(transfer(bytes, speed.bytes_per_second));
-            speed.start = Duration::from_millis(average(millis(speed.start), millis(start)));
+            let startup = took.saturating_sub(transfer(bytes, speed.bytes_per_second));
+            speed.startup = Duration::from_millis(average(millis(speed.startup), millis(startup)));
             return;
         }
-        let moving = millis(took.saturating_sub(speed.start)).max(1);
-        let measured = bytes.saturating_mul(1000) / moving;
+        let transfer_ms = millis(took.saturating_sub(speed.startup)).max(1);
+        let measured = bytes.saturating_mul(1000) / transfer_ms;
         speed.bytes_per_second = average(speed.bytes_per_second, measured).max(1);
     }
 }
 
-/// Moves a moving average on by one measurement.
+/// Updates an exponential moving average with a measurement.
 fn average(old: u64, measured: u64) -> u64 {
     let old = old.saturating_mul(100 - SPEED_WEIGHT_PERCENT);
     let new = measured.saturating_mul(SPEED_WEIGHT_PERCENT);
@@ -175,27 +175,27 @@
     u64::try_from(millis).unwrap_or(u64::MAX)
 }
 
-/// Limits the loads started from the weight store in a second.
+/// Token bucket that limits the loads started per second from the weight store.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RateLimit {
     tokens: f64,
-    filled: Option<Timestamp>,
+    refilled_at: Option<Timestamp>,
 }
 
 impl RateLimit {
-    /// Takes one start, if the rate allows it now.
+    /// Takes a token for one load, if one is available.
     pub(super) fn take(&mut self, per_second: f64, now: Timestamp) -> bool {
-        let passed = self
-            .filled
-            .map_or(f64::INFINITY, |filled| now.since(filled).as_secs_f64());
-        let filled = self.tokens + passed * per_second.max(0.0);
-        // A product of zero and infinity is no number; the bucket starts full.
-        self.tokens = if filled.is_nan() {
+        let passed = self.refilled_at.map_or(f64::INFINITY, |refilled_at| {
+            now.since(refilled_at).as_secs_f64()
+        });
+        let refilled = self.tokens + passed * per_second.max(0.0);
+        // Zero times infinity is NaN: at a rate of zero the bucket still starts full.
+        self.tokens = if refilled.is_nan() {
             RATE_BURST
         } else {
-            filled.min(RATE_BURST)
+            refilled.min(RATE_BURST)
         };
-        self.filled = Some(now);
+        self.refilled_at = Some(now);
         if self.tokens < 1.0 {
             return false;
         }
@@ -204,7 +204,7 @@
     }
 }
 
-/// What went wrong with an artifact.
+/// Load failures of an artifact.
 #[derive(Clone, Debug, Default)]
 struct Failure {
     tries: u32,
@@ -213,14 +213,14 @@
     backoff: Duration,
 }
 
-/// Failed loads: which runners to avoid, and when to try again.
+/// Failed loads: which runners to avoid, and when to retry.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Failures {
     by_artifact: BTreeMap<ArtifactId, Failure>,
 }
 
 impl Failures {
-    /// Takes in a failed load.
+    /// Records a failed load.
     pub(super) fn failed(
         &mut self,
         artifact: &ArtifactId,
@@ -232,12 +232,12 @@
         failure.tries += 1;
         failure.runners.push(runner.clone());
         if failure.tries >= settings.load_tries {
-            self.pause(artifact, now, settings);
+            self.back_off(artifact, now, settings);
         }
     }
 
-    /// Nothing is left to try: pauses, longer each time. Returns the end of the pause.
-    pub(super) fn pause(
+    /// Starts a backoff, longer each time, once no runner is left to try. Returns its end.
+    pub(super) fn back_off(
         &mut self,
         artifact: &ArtifactId,
         now: Timestamp,
@@ -246,7 +246,7 @@
         let failure = self.by_artifact.entry(artifact.clone()).or_default();
         failure.backoff = (failure.backoff * 2)
             .max(settings.load_backoff)
-            .min(LONGEST_BACKOFF);
+            .min(MAX_BACKOFF);
         let until = now + failure.backoff;
         failure.blocked_until = Some(until);
         failure.tries = 0;
@@ -254,18 +254,18 @@
         until
     }
 
-    /// The artifact is ready: all is forgotten.
+    /// Clears the failures of an artifact that is ready.
     pub(super) fn succeeded(&mut self, artifact: &ArtifactId) {
         self.by_artifact.remove(artifact);
     }
 
-    /// Until when the artifact is not tried.
+    /// Until when loads of the artifact are not tried.
     pub(super) fn blocked_until(&self, artifact: &ArtifactId, now: Timestamp) -> Option<Timestamp> {
         let until = self.by_artifact.get(artifact)?.blocked_until?;
         (now < until).then_some(until)
     }
 
-    /// Whether the artifact failed on a runner since the last pause.
+    /// Whether the artifact has failed on a runner since the last backoff.
     pub(super) fn failed_on(&self, artifact: &ArtifactId, runner: &RunnerName) -> bool {
         let failure = self.by_artifact.get(artifact);
         failure.is_some_and(|failure| failure.runners.contains(runner))
--- a/crates/control/src/coordinator/ledger.rs
+++ b/crates/control/src/coordinator/memory.rs
@@ -1,4 +1,4 @@
-//! Memory of each runner: what its inventory shows, and the loads ordered or reserved.
+//! Memory accounting for each runner: its inventory, and the loads ordered or reserved.
 
 use flaxward_types::engine::HeldState;
 use flaxward_types::records::Slot;
@@ -6,39 +6,47 @@
 
 use super::leading::{Context, Leading, slot};
 
-/// Room on a runner for an artifact.
+/// Whether a runner has memory available for an artifact.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Room {
+pub(super) enum Headroom {
     /// It fits now.
     Free,
-    /// It fits once something idle is unloaded.
+    /// It fits once idle replicas are unloaded.
     AfterUnload,
     /// It does not fit.
     None,
 }
 
 impl Leading {
-    /// Bytes held on a runner by its inventory.
-    fn held_bytes(&self, name: &RunnerName) -> u64 {
+    /// Bytes in use on a runner according to its inventory.
+    fn used_bytes(&self, name: &RunnerName) -> u64 {
         let runner = self.runners.get(name);
-        runner.map_or(0, |runner| runner.holdings().map(|held| held.bytes).sum())
+        runner.map_or(0, |runner| runner.holdings().map(|entry| entry.bytes).sum())
     }
 
     /// Bytes of loads on a runner that its inventory does not show yet.
-    fn unseen_bytes(&self, name: &RunnerName, counts: impl Fn(&Slot, bool) -> bool) -> u64 {
+    fn bytes_not_in_inventory(
+        &self,
+        name: &RunnerName,
+        counts: impl Fn(&Slot, bool) -> bool,
+    ) -> u64 {
         let on_runner = self
             .loads
             .iter()
             .filter(|(slot, load)| slot.runner == *name && counts(slot, load.is_ordered()));
         on_runner
-            .filter(|(slot, _)| !self.is_held(slot))
+            .filter(|(slot, _)| !self.is_in_inventory(slot))
             .map(|(_, load)| load.bytes)
             .sum()
     }
 
-    fn is_held(&self, slot: &Slot) -> bool {
+    fn is_in_inventory(&self, slot: &Slot) -> bool {
         let runner = self.runners.get(&slot.runner);
-        runner.is_some_and(|runner| runner.holdings().any(|held| held.artifact == slot.artifact))
+        runner.is_some_and(|runner| {
+            runner
+                .holdings()
+                .any(|entry| entry.artifact == slot.artifact)
+        })
     }
 
     fn memory(&self, name: &RunnerName) -> u64 {
@@ -49,39 +57,40 @@
         inventory.map_or(0, |inventory| inventory.memory)
     }
 
-    /// Whether the order for a load may be sent: all that is held or ordered leaves room.
+    /// Whether the order for a load may be sent: it fits beside all that is in use or ordered.
     pub(super) fn fits_now(&self, slot: &Slot, bytes: u64) -> bool {
-        let ordered = self.unseen_bytes(&slot.runner, |other, ordered| ordered && other != slot);
-        let taken = self.held_bytes(&slot.runner) + ordered;
-        taken + bytes <= self.memory(&slot.runner)
+        let ordered =
+            self.bytes_not_in_inventory(&slot.runner, |other, ordered| ordered && other != slot);
+        let used = self.used_bytes(&slot.runner) + ordered;
+        used + bytes <= self.memory(&slot.runner)
     }
 
-    /// Whether an artifact with some bytes fits on a runner besides all that is held or reserved.
-    pub(super) fn room(&self, name: &RunnerName, bytes: u64, context: &Context) -> Room {
+    /// Whether an artifact of this size fits on a runner beside all that is in use or reserved.
+    pub(super) fn headroom(&self, name: &RunnerName, bytes: u64, context: &Context) -> Headroom {
         let memory = self.memory(name);
-        let taken = self.held_bytes(name) + self.unseen_bytes(name, |_, _| true);
-        if taken + bytes <= memory {
-            return Room::Free;
+        let used = self.used_bytes(name) + self.bytes_not_in_inventory(name, |_, _| true);
+        if used + bytes <= memory {
+            return Headroom::Free;
         }
         let reclaimable = self.reclaimable(name, context);
-        if taken.saturating_sub(reclaimable) + bytes <= memory {
-            Room::AfterUnload
+        if used.saturating_sub(reclaimable) + bytes <= memory {
+            Headroom::AfterUnload
         } else {
-            Room::None
+            Headroom::None
         }
     }
 
-    /// Whether an artifact would ever fit on a runner.
+    /// Whether an artifact fits into a runner's total memory.
     pub(super) fn could_fit(&self, name: &RunnerName, bytes: u64) -> bool {
         bytes <= self.memory(name)
     }
 
-    /// Bytes that unloads under way or idle replicas will free.
+    /// Bytes that can be freed by unloads in progress and by evicting idle replicas.
     fn reclaimable(&self, name: &RunnerName, context: &Context) -> u64 {
         let Some(runner) = self.runners.get(name) else {
             return 0;
         };
-        let goes = |artifact: &ArtifactId, state: HeldState| {
+        let can_be_freed = |artifact: &ArtifactId, state: HeldState| {
             let slot = slot(artifact, name);
             state == HeldState::Unloading
                 || self.unloads.contains_key(&slot)
@@ -89,12 +98,13 @@
         };
         runner
             .holdings()
-            .filter(|held| goes(&held.artifact, held.state))
-            .map(|held| held.bytes)
+            .filter(|entry| can_be_freed(&entry.artifact, entry.state))
+            .map(|entry| entry.bytes)
             .sum()
     }
 
-    /// Whether nobody wants what is in a slot, so that it may go when memory is short.
+    /// Whether the artifact in a slot is not wanted, so that it may be evicted when memory is
+    /// short.
     pub(super) fn is_evictable(&self, slot: &Slot, context: &Context) -> bool {
         let wanted = self.is_firm(&slot.artifact);
         let demanded = context.demands.summary(&slot.artifact).is_some();
@@ -105,27 +115,27 @@
         self.wanted.get(artifact).is_some_and(|wanted| wanted.firm)
     }
 
-    /// Whether a base carries an adapter that somebody wants on the same runner.
+    /// Whether a base is needed by a wanted adapter on the same runner.
     pub(super) fn carries_wanted_adapter(&self, base: &Slot) -> bool {
         self.adapters_on(base).any(|adapter| self.is_firm(&adapter))
     }
 
-    /// Adapters on top of a base on its runner, also those being loaded or unloaded.
+    /// Adapters of a base on its runner, including those being loaded or unloaded.
     pub(super) fn adapters_on<'a>(
         &'a self,
         base: &'a Slot,
     ) -> impl Iterator<Item = ArtifactId> + 'a {
         let runner = self.runners.get(&base.runner);
-        let held = runner
+        let present = runner
             .into_iter()
-            .flat_map(|runner| runner.holdings().map(|held| held.artifact.clone()));
+            .flat_map(|runner| runner.holdings().map(|entry| entry.artifact.clone()));
         let ordered = self
             .loads
             .keys()
             .chain(self.unloads.keys())
             .filter(|slot| slot.runner == base.runner)
             .map(|slot| slot.artifact.clone());
-        held.chain(ordered).filter(move |artifact| {
+        present.chain(ordered).filter(move |artifact| {
             !base.artifact.is_adapter() && artifact.is_adapter() && artifact.base() == base.artifact
         })
     }
@@ -136,38 +146,43 @@
         let Some(runner) = self.runners.get(name) else {
             return Vec::new();
         };
-        let ordered = self.unseen_bytes(name, |other, ordered| ordered && other != load);
-        let leaving = |artifact: &ArtifactId, state| {
+        let ordered = self.bytes_not_in_inventory(name, |other, ordered| ordered && other != load);
+        let is_unloading = |artifact: &ArtifactId, state| {
             state == HeldState::Unloading || self.unloads.contains_key(&slot(artifact, name))
         };
-        let mut taken: u64 = ordered;
+        let mut used: u64 = ordered;
         let mut idle = Vec::new();
-        for held in runner.holdings() {
-            let candidate = slot(&held.artifact, name);
-            if leaving(&held.artifact, held.state) {
+        for entry in runner.holdings() {
+            let candidate = slot(&entry.artifact, name);
+            if is_unloading(&entry.artifact, entry.state) {
                 continue;
             }
-            taken += held.bytes;
-            if held.state == HeldState::Ready && self.is_evictable(&candidate, context) {
-                let used = context.demands.last_active(&held.artifact);
-                // Adapters go before the base that they need.
-                idle.push((used, !held.artifact.is_adapter(), candidate, held.bytes));
+            used += entry.bytes;
+            if entry.state == HeldState::Ready && self.is_evictable(&candidate, context) {
+                let last_active = context.demands.last_active(&entry.artifact);
+                // Adapters are unloaded before the base that they need.
+                idle.push((
+                    last_active,
+                    !entry.artifact.is_adapter(),
+                    candidate,
+                    entry.bytes,
+                ));
             }
         }
         idle.sort();
         let memory = self.memory(name);
         let mut chosen = Vec::new();
         for (_, _, candidate, held_bytes) in idle {
-            if taken + bytes <= memory {
+            if used + bytes <= memory {
                 break;
             }
-            taken -= held_bytes;
+            used -= held_bytes;
             chosen.push(candidate);
         }
         self.with_adapters(chosen)
     }
 
-    /// Puts the adapters on top of each base before it.
+    /// Inserts the adapters of each base before it.
     fn with_adapters(&self, slots: Vec<Slot>) -> Vec<Slot> {
         let mut all = Vec::new();
         for base in slots {
--- a/crates/control/src/coordinator/mod.rs
+++ b/crates/control/src/coordinator/mod.rs
@@ -1,7 +1,8 @@
-//! The coordinator of a zone: who may decide, what is loaded where, and what waits.
+//! The coordinator of a zone: holds the zone lease, places artifacts on runners, and answers
+//! gateways.
 //!
-//! [`Coordinator::handle`] is told what happened and returns what to do. It reads no clock and does
-//! no I/O. `docs/design/authority.md` states the rules that it keeps and why.
+//! [`Coordinator::handle`] takes an event and returns the actions to carry out. It reads no clock
+//! and does no I/O. `docs/design/authority.md` states the rules that it follows and why.
 
 use std::time::Duration;
 
@@ -29,8 +30,8 @@
 mod leading;
 mod lease;
 mod lease_observation;
-mod ledger;
 mod loads;
+mod memory;
 mod needs;
 mod orders;
 mod placement;
@@ -59,17 +60,17 @@
 pub use views::{ReplicaView, RunnerView, WaitingView};
 pub use weakness::Weakness;
 
-use answers::Asked;
+use answers::GatewayQuery;
 use demand::DemandTable;
 use journal::Journal;
 use leading::{Context, Leading};
 use lease::LeaseKeeper;
-use store_health::{Patience, StoreHealth};
+use store_health::{OutageTimeouts, StoreHealth};
 
-/// Time between plans when nothing has happened.
+/// Interval between plans when no event has called for one.
 const PLAN_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What outlives a term.
+/// State that is kept across terms.
 #[derive(Debug)]
 struct Shared {
     settings: CoordinatorSettings,
@@ -98,26 +99,29 @@
         }
     }
 
-    /// Notes what lease and configuration say about the store.
-    fn watch_store(&mut self, now: Timestamp, configuration: &Configuration) {
-        let is_in_doubt = self.lease.is_held() && !self.lease.may_record(now);
-        self.store.note_lease(is_in_doubt, now);
-        if self.store.note_configuration(configuration.revision(), now) {
-            self.lease.hurry(now);
+    /// Updates the store's health from the state of the lease and the configuration.
+    fn update_store_health(&mut self, now: Timestamp, configuration: &Configuration) {
+        let is_unconfirmed = self.lease.is_held() && !self.lease.may_record(now);
+        self.store.observe_lease(is_unconfirmed, now);
+        if self
+            .store
+            .observe_configuration(configuration.revision(), now)
+        {
+            self.lease.step_at(now);
         }
     }
 
-    /// Whether the store has failed for a while, so that nothing new can be recorded.
+    /// Whether the store counts as unavailable, so that no new record can be written.
     fn in_outage(&self, now: Timestamp) -> bool {
-        let patience = Patience {
-            failing: self.settings.lease_renewal,
-            hope: self.settings.lease_duration,
+        let timeouts = OutageTimeouts {
+            failure: self.settings.lease_renewal,
+            recovery: self.settings.lease_duration,
         };
-        self.store.is_out(now, patience)
+        self.store.is_unavailable(now, timeouts)
     }
 }
 
-/// Coordinates one zone, or stands by to do so.
+/// Coordinates one zone, or is on standby to take over.
 #[derive(Debug)]
 pub struct Coordinator {
     shared: Shared,
@@ -131,8 +135,8 @@
     stray_quotas: Vec<QuotaSubject>,
     next_plan: Timestamp,
     changed: bool,
-    /// The event in hand is a tick.
-    ticked: bool,
+    /// Whether the event being handled is a tick.
+    is_tick: bool,
     last_now: Timestamp,
 }
 
@@ -140,18 +144,18 @@
     /// A coordinator for a zone of a region. The seed must differ with each start of the daemon.
     pub fn new(
         settings: CoordinatorSettings,
-        me: DaemonName,
+        own_name: DaemonName,
         zone: ZoneName,
         zones: Vec<ZoneName>,
         seed: u64,
     ) -> Self {
-        Self::with_weakness(settings, me, zone, zones, seed, Weakness::None)
+        Self::with_weakness(settings, own_name, zone, zones, seed, Weakness::None)
     }
 
-    /// A coordinator that leaves out a rule, for proofs that the rule is needed.
+    /// A coordinator with one rule disabled, so that tests can show that the rule is needed.
     pub fn with_weakness(
         settings: CoordinatorSettings,
-        me: DaemonName,
+        own_name: DaemonName,
         zone: ZoneName,
         zones: Vec<ZoneName>,
         seed: u64,
@@ -163,7 +167,7 @@
                 zone,
                 zones,
                 weakness,
-                lease: LeaseKeeper::new(me),
+                lease: LeaseKeeper::new(own_name),
                 demands: DemandTable::default(),
                 keep_alive: KeepAlive::new(),
                 store: StoreHealth::default(),
@@ -176,12 +180,12 @@
             stray_quotas: Vec::new(),
             next_plan: Timestamp::ZERO,
             changed: false,
-            ticked: false,
+            is_tick: false,
             last_now: Timestamp::ZERO,
         }
     }
 
-    /// Takes in an event and returns what to do.
+    /// Handles an event and returns the actions to carry out.
     pub fn handle(
         &mut self,
         event: CoordinatorEvent,
@@ -190,13 +194,13 @@
     ) -> Vec<CoordinatorAction> {
         self.last_now = now;
         let mut actions = Vec::new();
-        self.ticked = event == CoordinatorEvent::Tick;
-        let asked = self.take_in(event, now, configuration, &mut actions);
-        self.shared.watch_store(now, configuration);
-        self.advance(asked, now, configuration, &mut actions);
-        let later = self.leading.as_ref().and_then(Leading::overtaken_by);
+        self.is_tick = event == CoordinatorEvent::Tick;
+        let query = self.apply_event(event, now, configuration, &mut actions);
+        self.shared.update_store_health(now, configuration);
+        self.advance(query, now, configuration, &mut actions);
+        let later = self.leading.as_ref().and_then(Leading::superseded_by);
         if let Some(later) = later {
-            self.shared.lease.lose(later, now);
+            self.shared.lease.step_down(later, now);
             self.resign(&mut actions);
         }
         let nonce = u64::from(self.generator.random::<u32>());
@@ -206,16 +210,16 @@
         }
         for action in &actions {
             if let CoordinatorAction::Record(decision) = action {
-                self.journal.note(decision.clone(), now);
+                self.journal.record(decision.clone(), now);
             }
         }
         actions
     }
 
-    /// Plans if there is reason to, and sends what is due.
+    /// Plans if something has changed or the interval is over, and sends what is due.
     fn advance(
         &mut self,
-        asked: Option<Asked>,
+        query: Option<GatewayQuery>,
         now: Timestamp,
         configuration: &Configuration,
         actions: &mut Vec<CoordinatorAction>,
@@ -225,7 +229,7 @@
             return;
         };
         leading.apply_configuration(&context);
-        let due = self.ticked || self.changed;
+        let due = self.is_tick || self.changed;
         if leading.placement.fenced() && (self.changed || now >= self.next_plan) {
             let focus = leading.plan(&context);
             leading.answer_changes(&focus, &context);
@@ -239,8 +243,8 @@
             let step = leading.placement.step(now, context.may_record);
             leading.actions.extend(step);
         }
-        if let Some(asked) = asked {
-            leading.answer_gateway(&asked, &context);
+        if let Some(query) = query {
+            leading.answer_gateway(&query, &context);
         }
         actions.append(&mut leading.actions);
     }
--- a/crates/control/src/coordinator/needs.rs
+++ b/crates/control/src/coordinator/needs.rs
@@ -21,12 +21,12 @@
     /// Reads and writes quotas as needed.
     pub(super) fn step_quotas(&mut self, subjects: &BTreeSet<QuotaSubject>, context: &Context) {
         let wanted = &self.wanted;
-        self.sent_on
+        self.redirected_since
             .retain(|artifact, _| wanted.contains_key(artifact));
         let reading = self.quotas.read_all(context.now);
         self.actions.extend(reading);
         if !context.may_record {
-            self.unstepped.extend(subjects.iter().cloned());
+            self.unwritten_quotas.extend(subjects.iter().cloned());
             return;
         }
         for subject in subjects {
@@ -116,7 +116,7 @@
     /// Whether an artifact is held in its slot, or on its way there, and takes requests.
     fn is_loaded(&self, key: &Slot, now: Timestamp) -> bool {
         let mut staying = self.staying(&key.artifact, now);
-        staying.any(|(name, _)| *name == key.runner) || self.live_load(key, now).is_some()
+        staying.any(|(name, _)| *name == key.runner) || self.active_load(key, now).is_some()
     }
 
     /// Whether the zone can do anything with units of a subject. Those of an adapter are of use only
--- a/crates/control/src/coordinator/orders.rs
+++ b/crates/control/src/coordinator/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to runners and what their answers mean.
+//! Orders to runners and the handling of their answers.
 
 use flaxward_types::engine::{Inventory, Order, OrderAction, OrderAnswer};
 use flaxward_types::records::Slot;
@@ -11,7 +11,7 @@
 use super::runner::{Phase, inventory_of};
 
 impl Leading {
-    /// Takes in the answer to an order.
+    /// Applies the answer to an order.
     pub(super) fn apply_answer(
         &mut self,
         name: &RunnerName,
@@ -25,15 +25,15 @@
         let answer = match answer {
             Ok(answer) => answer,
             Err(fault) => {
-                if let Some(order) = runner.unanswered(id, fault, context.now) {
+                if let Some(order) = runner.record_no_answer(id, fault, context.now) {
                     self.order_refused(name, &order, context);
                 }
                 return;
             }
         };
-        let order = runner.answered(id);
+        let order = runner.settle_order(id);
         if let OrderAnswer::StaleTerm { highest } = answer {
-            self.note_term(highest);
+            self.observe_term(highest);
         }
         if let Some(inventory) = inventory_of(&answer) {
             self.observe(name, inventory.clone(), context.now);
@@ -44,12 +44,12 @@
         match answer {
             OrderAnswer::Accepted(inventory) => self.order_accepted(name, &order, &inventory),
             OrderAnswer::OtherBoot { .. } => {
-                // The order certainly did nothing, so this is no failed load.
+                // The order was not carried out, so this does not count as a failed load.
                 if let OrderAction::Load { artifact, .. } = &order.action {
-                    self.drop_load(&slot(artifact, name));
+                    self.remove_load(&slot(artifact, name));
                 }
                 if let Some(runner) = self.runners.get_mut(name) {
-                    runner.other_boot(order.boot);
+                    runner.on_boot_mismatch(order.boot);
                 }
             }
             OrderAnswer::StaleTerm { .. }
@@ -97,9 +97,9 @@
         }
     }
 
-    /// Gives up a load that failed, so that it is tried elsewhere.
+    /// Removes a failed load, so that it is tried on another runner.
     pub(super) fn load_failed(&mut self, slot: &Slot, context: &Context) {
-        if self.drop_load(slot).is_none() {
+        if self.remove_load(slot).is_none() {
             return;
         }
         let runner = slot.runner.clone();
@@ -108,7 +108,7 @@
         self.record(&slot.artifact, DecisionKind::LoadFailed { runner });
     }
 
-    /// Orders an unload, unless one is in progress or an order about the artifact is unsettled.
+    /// Orders an unload, unless one is in progress or an order for the artifact is pending.
     pub(super) fn unload(&mut self, slot: &Slot, reason: UnloadReason) {
         let Some(runner) = self.runners.get(&slot.runner) else {
             return;
@@ -116,7 +116,7 @@
         let Some(boot) = runner.sealed_boot() else {
             return;
         };
-        if self.unloads.contains_key(slot) || runner.awaits(&slot.artifact) {
+        if self.unloads.contains_key(slot) || runner.has_pending_order(&slot.artifact) {
             return;
         }
         let action = OrderAction::Unload {
@@ -128,7 +128,7 @@
             answered: false,
         };
         self.unloads.insert(slot.clone(), unload);
-        self.drop_load(slot);
+        self.remove_load(slot);
         self.touched.insert(slot.artifact.clone());
         self.ready_since.remove(slot);
         let runner = slot.runner.clone();
--- a/crates/control/src/coordinator/planner.rs
+++ b/crates/control/src/coordinator/planner.rs
@@ -31,7 +31,7 @@
             return std::mem::take(&mut self.touched);
         }
         self.placement.clear_wishes();
-        self.give_up_gone(context);
+        self.remove_departed(context);
         let housekeeping = context.now >= self.next_housekeeping;
         if housekeeping {
             self.next_housekeeping = context.now + HOUSEKEEPING_INTERVAL;
@@ -111,7 +111,7 @@
         let loading = self
             .loads
             .keys()
-            .filter(|slot| slot.artifact == *artifact && self.live_load(slot, now).is_some());
+            .filter(|slot| slot.artifact == *artifact && self.active_load(slot, now).is_some());
         runners.extend(loading.map(|slot| &slot.runner));
         u32::try_from(runners.len()).unwrap_or(u32::MAX)
     }
@@ -170,7 +170,7 @@
     /// another one: those who waited then were sent to the replica there was.
     fn is_left_over(&self, artifact: &ArtifactId, demand: &DemandSummary) -> bool {
         let is_gone = !self.holdings.contains(artifact);
-        is_gone && demand.waiting_told <= self.made_way.get(artifact).copied()
+        is_gone && demand.waiting_told <= self.replaced_at.get(artifact).copied()
     }
 
     /// Decides loads for all in focus that is wanted, the most urgent first. What was blocked is in
@@ -243,7 +243,7 @@
             deadline: wanted.deadline,
         };
         let runner = choice.runner.clone();
-        self.made_way.remove(artifact);
+        self.replaced_at.remove(artifact);
         self.loads.insert(slot(artifact, &runner), load);
         let estimate_ms = millis(choice.estimate);
         let kind = DecisionKind::Load {
--- a/crates/control/src/coordinator/progress.rs
+++ b/crates/control/src/coordinator/progress.rs
@@ -1,4 +1,4 @@
-//! Brings loads and unloads forward: slot, memory, base, permit, order, ready.
+//! Advances loads and unloads through their stages: slot, memory, base, permit, order, ready.
 
 use std::time::Duration;
 
@@ -13,36 +13,36 @@
 use super::loads::{Load, Stage, Tier, remote_in_progress};
 use super::weakness::Weakness;
 
-/// Permits for the weight store taken for granted while no quota record is known.
+/// Permits for the weight store assumed while no quota record is known.
 const PERMITS_WITHOUT_RECORD: u32 = 1;
 
-/// What has become of a load that was ordered.
-enum Outcome {
-    Open,
+/// Outcome of a load that was ordered.
+enum LoadOutcome {
+    InProgress,
     Ready,
     Failed,
     Stuck,
-    /// Given up without an answer; only a [weakness](Weakness::FreeOnTimeout) does so.
-    Forgotten,
+    /// Abandoned without an answer; only with [`Weakness::FreeOnTimeout`].
+    Abandoned,
 }
 
 impl Leading {
-    /// Looks what the inventories say about loads that were ordered.
+    /// Settles ordered loads according to the inventories.
     pub(super) fn settle_loads(&mut self, context: &Context) {
         self.adopt_loads(context);
         let slots: Vec<Slot> = self.loads.keys().cloned().collect();
         for slot in slots {
             match self.outcome(&slot, context) {
-                Outcome::Open => {}
-                Outcome::Ready => self.load_ready(&slot, context),
-                Outcome::Failed => self.load_failed(&slot, context),
-                Outcome::Forgotten => {
+                LoadOutcome::InProgress => {}
+                LoadOutcome::Ready => self.load_ready(&slot, context),
+                LoadOutcome::Failed => self.load_failed(&slot, context),
+                LoadOutcome::Abandoned => {
                     self.load_failed(&slot, context);
                     if let Some(runner) = self.runners.get_mut(&slot.runner) {
-                        runner.forget_orders(&slot.artifact);
+                        runner.remove_orders(&slot.artifact);
                     }
                 }
-                Outcome::Stuck => {
+                LoadOutcome::Stuck => {
                     self.load_failed(&slot, context);
                     self.unload(&slot, UnloadReason::Evicted);
                 }
@@ -50,21 +50,24 @@
         }
     }
 
-    /// Takes over loads that a former coordinator has ordered.
+    /// Adopts loads that a former coordinator has ordered.
     fn adopt_loads(&mut self, context: &Context) {
         for (name, runner) in &self.runners {
             let Some(boot) = runner.sealed_boot().filter(|_| runner.is_in_transit()) else {
                 continue;
             };
-            for held in runner.holdings() {
-                let key = slot(&held.artifact, name);
+            for entry in runner.holdings() {
+                let key = slot(&entry.artifact, name);
                 let known = self.loads.contains_key(&key) || self.unloads.contains_key(&key);
-                if held.state != HeldState::Loading || known || runner.awaits(&held.artifact) {
+                if entry.state != HeldState::Loading
+                    || known
+                    || runner.has_pending_order(&entry.artifact)
+                {
                     continue;
                 }
-                let expected = self.speeds.duration(Tier::Remote, held.bytes);
+                let expected = self.speeds.duration(Tier::Remote, entry.bytes);
                 let load = Load {
-                    bytes: held.bytes,
+                    bytes: entry.bytes,
                     tier: Tier::Remote,
                     stage: Stage::Loading,
                     boot,
@@ -79,48 +82,48 @@
         }
     }
 
-    fn outcome(&self, slot: &Slot, context: &Context) -> Outcome {
+    fn outcome(&self, slot: &Slot, context: &Context) -> LoadOutcome {
         let (Some(load), Some(runner)) = (self.loads.get(slot), self.runners.get(&slot.runner))
         else {
-            return Outcome::Failed;
+            return LoadOutcome::Failed;
         };
         if !load.is_ordered() {
-            return Outcome::Open;
+            return LoadOutcome::InProgress;
         }
         let Some(boot) = runner.sealed_boot() else {
-            return Outcome::Open;
+            return LoadOutcome::InProgress;
         };
         if boot != load.boot {
-            return Outcome::Failed;
+            return LoadOutcome::Failed;
         }
         let waited = context.now.since(load.started);
-        let awaited = runner.awaits(&slot.artifact);
+        let awaited = runner.has_pending_order(&slot.artifact);
         if awaited && context.weakness == Weakness::FreeOnTimeout {
             let late = waited >= context.settings.order_retry * 2;
             return if late {
-                Outcome::Forgotten
+                LoadOutcome::Abandoned
             } else {
-                Outcome::Open
+                LoadOutcome::InProgress
             };
         }
-        match runner.held(&slot.artifact).map(|held| held.state) {
-            Some(HeldState::Ready) if !awaited => Outcome::Ready,
+        match runner.held(&slot.artifact).map(|entry| entry.state) {
+            Some(HeldState::Ready) if !awaited => LoadOutcome::Ready,
             Some(HeldState::Loading) if !awaited && waited >= context.settings.load_timeout => {
-                Outcome::Stuck
+                LoadOutcome::Stuck
             }
-            Some(HeldState::Ready | HeldState::Loading) => Outcome::Open,
-            _ if awaited => Outcome::Open,
-            _ => Outcome::Failed,
+            Some(HeldState::Ready | HeldState::Loading) => LoadOutcome::InProgress,
+            _ if awaited => LoadOutcome::InProgress,
+            _ => LoadOutcome::Failed,
         }
     }
 
     fn load_ready(&mut self, slot: &Slot, context: &Context) {
-        let Some(load) = self.drop_load(slot) else {
+        let Some(load) = self.remove_load(slot) else {
             return;
         };
         let now = context.now;
         self.speeds
-            .measured(load.tier, load.bytes, now.since(load.started));
+            .record(load.tier, load.bytes, now.since(load.started));
         self.failures.succeeded(&slot.artifact);
         self.ready_since.insert(slot.clone(), now);
         let took = now.since(load.decided);
@@ -131,7 +134,7 @@
         self.record(&slot.artifact, kind);
     }
 
-    /// Looks what the inventories say about unloads.
+    /// Settles unloads according to the inventories.
     pub(super) fn settle_unloads(&mut self) {
         let slots: Vec<Slot> = self.unloads.keys().cloned().collect();
         for slot in slots {
@@ -144,21 +147,21 @@
             let Some(boot) = runner.sealed_boot() else {
                 continue;
             };
-            let state = runner.held(&slot.artifact).map(|held| held.state);
-            let gone = runner.confirmed_without(&slot.artifact);
+            let state = runner.held(&slot.artifact).map(|entry| entry.state);
+            let is_absent = runner.is_confirmed_absent(&slot.artifact);
             let ignored =
                 unload.answered && matches!(state, Some(HeldState::Ready | HeldState::Loading));
-            if gone || ignored || boot != unload.boot {
+            if is_absent || ignored || boot != unload.boot {
                 self.unloads.remove(&slot);
             }
-            if gone {
+            if is_absent {
                 let runner = slot.runner.clone();
                 self.record(&slot.artifact, DecisionKind::Unloaded { runner });
             }
         }
     }
 
-    /// Brings queued loads forward, the most urgent first.
+    /// Advances queued loads, the most urgent first.
     pub(super) fn advance_loads(&mut self, context: &Context) {
         let mut queued: Vec<(Slot, Load)> = self
             .loads
@@ -186,17 +189,17 @@
             .and_then(super::runner::Runner::sealed_boot);
         let has_base = !slot.artifact.is_adapter() || self.has_base(&slot.artifact, &slot.runner);
         if boot != Some(load.boot) || !has_base || !self.takes_loads(&slot.runner, context.now) {
-            self.drop_load(slot);
+            self.remove_load(slot);
             return;
         }
         let has_slot = self.placement.usable(slot);
-        if !has_slot && !self.obtain_slot(slot, context) {
-            self.drop_load(slot);
+        if !has_slot && !self.request_slot(slot, context) {
+            self.remove_load(slot);
             return;
         }
         let fits = self.fits_now(slot, load.bytes);
         if !fits {
-            self.make_room(slot, load.bytes, context);
+            self.free_memory(slot, load.bytes, context);
         }
         if !has_slot || !fits || !self.base_is_ready(slot) {
             return;
@@ -207,15 +210,15 @@
         self.order_load(slot, load, context);
     }
 
-    /// Wishes for the slot of a load. False if there is none to be had.
-    fn obtain_slot(&mut self, slot: &Slot, context: &Context) -> bool {
+    /// Requests the slot of a load. Returns false if none is available.
+    fn request_slot(&mut self, slot: &Slot, context: &Context) -> bool {
         if self.placement.adding(slot) || self.placement.wished(slot) {
             return true;
         }
         if context.in_outage {
             return false;
         }
-        // The load itself is among those that were promised a slot.
+        // The load itself counts among those that have been promised a slot.
         let load = self.loads.remove(slot);
         let source = self.slot_source(&slot.artifact, context);
         if let Some(load) = load {
@@ -230,18 +233,18 @@
         true
     }
 
-    fn make_room(&mut self, slot: &Slot, bytes: u64, context: &Context) {
+    fn free_memory(&mut self, slot: &Slot, bytes: u64, context: &Context) {
         for victim in self.victims(slot, bytes, context) {
             self.evict(&victim);
         }
     }
 
-    /// Unloads something idle; a base only once no adapter is on it.
+    /// Evicts an idle replica; a base only after its adapters.
     pub(super) fn evict(&mut self, victim: &Slot) {
         self.unload_after_adapters(victim, UnloadReason::Evicted);
     }
 
-    /// Unloads an artifact, its adapters first.
+    /// Unloads an artifact after its adapters.
     pub(super) fn unload_after_adapters(&mut self, victim: &Slot, reason: UnloadReason) {
         let adapters: Vec<_> = self.adapters_on(victim).collect();
         if adapters.is_empty() {
@@ -268,7 +271,7 @@
             Some(quota) => (self.quotas.units(&subject), quota.limit),
             None => (PERMITS_WITHOUT_RECORD, self.policy.weight_store_parallel),
         };
-        // In an outage no permit can be asked for.
+        // In an outage no permit can be requested, so one is assumed.
         let permits = permits.max(u32::from(context.in_outage));
         if remote_in_progress(&self.loads) >= permits {
             return false;
@@ -280,7 +283,7 @@
 
     fn order_load(&mut self, slot: &Slot, load: &Load, context: &Context) {
         let Some(checkpoint) = context.configuration.checkpoint(&slot.artifact) else {
-            self.drop_load(slot);
+            self.remove_load(slot);
             return;
         };
         let action = OrderAction::Load {
--- a/crates/control/src/coordinator/rounds.rs
+++ b/crates/control/src/coordinator/rounds.rs
@@ -1,9 +1,10 @@
-//! Goes round the keys of a map, a slice at a time.
+//! Cyclic iteration over the entries of a map, for scans that examine a slice at a time.
 
 use std::collections::BTreeMap;
 use std::ops::Bound::{Excluded, Unbounded};
 
-/// The entries that follow a key, round to the key itself; all of them from the first on if `None`.
+/// All entries in cyclic order, starting after the given key and ending with it; starts with the
+/// first entry if `None`.
 pub(super) fn following<'a, Key: Ord, Value>(
     map: &'a BTreeMap<Key, Value>,
     last: Option<&Key>,
--- a/crates/control/src/coordinator/runner.rs
+++ b/crates/control/src/coordinator/runner.rs
@@ -1,7 +1,8 @@
-//! What is known of one runner: whether it is sealed, what it holds, and the orders in flight.
+//! The known state of one runner: whether it is sealed, its inventory, and the orders in flight.
 //!
-//! A runner takes orders only after its boot id was read, the own term was then seen to stand in the
-//! placement record, and the engine has accepted the term. A new boot starts again.
+//! Orders are sent to a runner only after its boot id was read, the placement record was then
+//! confirmed to carry the own term, and the engine has accepted the term. A new boot restarts this
+//! sequence.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -17,15 +18,16 @@
 /// Time without any answer after which a runner counts as unreachable.
 const UNREACHABLE_AFTER: Duration = Duration::from_secs(3);
 
-/// Reads of an observer that may fail to come before the coordinator reads a runner itself.
-const OBSERVER_PATIENCE: u32 = 3;
+/// Refresh intervals without a report from the observer after which the coordinator reads a runner
+/// itself.
+const MAX_MISSED_OBSERVER_READS: u32 = 3;
 
-/// How far the seal of a runner is.
+/// Progress of sealing a runner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
     /// Its boot id has not been read yet.
     Unknown,
-    /// The own term is to be seen in the placement record by this operation.
+    /// This operation is to confirm that the placement record carries the own term.
     Verifying { boot: BootId, operation: u64 },
     /// The term has been sent to it.
     Sealing { boot: BootId },
@@ -33,67 +35,68 @@
     Sealed { boot: BootId },
 }
 
-/// What an inventory means.
+/// Result of applying an inventory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Observation {
-    /// Older than what is known.
+    /// Older than the known inventory.
     Stale,
-    /// Taken in.
+    /// Applied.
     Applied,
-    /// A later coordinator has been here, under this term.
-    Overtaken(Term),
+    /// A later coordinator has sealed the runner under this term.
+    Superseded(Term),
 }
 
-/// An order without an answer yet.
+/// An order that has not been answered yet.
 #[derive(Clone, Debug)]
 pub(super) struct PendingOrder {
     pub(super) order: Order,
     sent: Timestamp,
     sends: u32,
-    /// Sends that certainly did not arrive.
-    missed: u32,
+    /// Sends that are known not to have arrived.
+    undelivered: u32,
 }
 
-/// What a runner is good for.
+/// What a runner may be used for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) struct Use {
-    /// Callers' requests may go there.
+pub(super) struct Availability {
+    /// It may receive callers' requests.
     pub(super) serves: bool,
-    /// Loads may be ordered there.
+    /// Loads may be ordered on it.
     pub(super) takes_loads: bool,
 }
 
-/// What its observer said of a runner last.
+/// State of the last report about a runner from its observer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum ObserverWord {
-    /// Nothing yet.
+enum ObserverReport {
+    /// No report yet.
     None,
-    /// It reads the inventory again and again, and that is known here.
-    Known,
-    /// It got no answer or another inventory, which is to be seen for oneself.
-    Doubt,
+    /// The observer reads the inventory regularly and last found the known one.
+    Confirmed,
+    /// The observer got no answer or another inventory, so the coordinator must read it itself.
+    Unconfirmed,
 }
 
 /// One runner.
 #[derive(Clone, Debug)]
 pub(super) struct Runner {
     pub(super) address: String,
-    /// The machine list says that it is leaving.
+    /// Whether the machine list marks it as leaving.
     pub(super) listed_leaving: bool,
-    /// Since when the machine list does not show it any more.
+    /// Since when it has been missing from the machine list.
     pub(super) unlisted_since: Option<Timestamp>,
     pub(super) phase: Phase,
     pub(super) inventory: Option<Inventory>,
     pub(super) report: LoadReport,
-    /// What it was good for at the last plan.
-    pub(super) last_use: Use,
-    /// Something on it is loading or unloading.
+    /// Its availability at the last plan.
+    pub(super) last_availability: Availability,
+    /// Whether an artifact is loading or unloading on it.
     in_transit: bool,
     orders: BTreeMap<OrderId, PendingOrder>,
-    dead_boots: BTreeSet<BootId>,
+    ended_boots: BTreeSet<BootId>,
     read_sent: Option<Timestamp>,
-    read: Timestamp,
-    observer: ObserverWord,
+    /// When it last answered this daemon or its observer.
+    last_answer: Timestamp,
+    observer: ObserverReport,
     failing_since: Option<Timestamp>,
 }
 
@@ -106,13 +109,13 @@
             phase: Phase::Unknown,
             inventory: None,
             report: LoadReport::default(),
-            last_use: Use::default(),
+            last_availability: Availability::default(),
             in_transit: false,
             orders: BTreeMap::new(),
-            dead_boots: BTreeSet::new(),
+            ended_boots: BTreeSet::new(),
             read_sent: None,
-            read: Timestamp::ZERO,
-            observer: ObserverWord::None,
+            last_answer: Timestamp::ZERO,
+            observer: ObserverReport::None,
             failing_since: None,
         }
     }
@@ -124,24 +127,28 @@
         }
     }
 
-    /// Whether it says itself, or the machine list says, that it is leaving.
+    /// Whether its inventory or the machine list marks it as leaving.
     pub(super) fn leaving(&self) -> bool {
         let listed = !self.listed_leaving && self.unlisted_since.is_none();
-        !listed || self.inventory.as_ref().is_some_and(|held| held.leaving)
+        !listed
+            || self
+                .inventory
+                .as_ref()
+                .is_some_and(|inventory| inventory.leaving)
     }
 
-    /// For how long it has neither answered nor been listed; `None` if it is listed.
+    /// How long it has neither answered nor been listed; `None` if it is listed.
     pub(super) fn silent_since_unlisted(&self, now: Timestamp) -> Option<Duration> {
-        let since = self.unlisted_since?.max(self.read);
+        let since = self.unlisted_since?.max(self.last_answer);
         Some(now.since(since))
     }
 
-    /// Whether callers' requests may go to it, as far as it and the machine list say.
+    /// Whether it may receive callers' requests according to its own state and the machine list.
     pub(super) fn serves(&self, now: Timestamp) -> bool {
         !self.leaving() && !self.unreachable(now)
     }
 
-    /// Whether it has not answered for a while.
+    /// Whether it has been failing to answer for too long.
     pub(super) fn unreachable(&self, now: Timestamp) -> bool {
         self.failing_since
             .is_some_and(|since| now.since(since) >= UNREACHABLE_AFTER)
@@ -153,24 +160,27 @@
 
     /// Artifacts that are loaded, loading or unloading.
     pub(super) fn holdings(&self) -> impl Iterator<Item = &Held> {
-        let held = self.inventory.iter().flat_map(|held| &held.artifacts);
-        held.filter(|held| held.state != HeldState::Failed)
+        let entries = self
+            .inventory
+            .iter()
+            .flat_map(|inventory| &inventory.artifacts);
+        entries.filter(|entry| entry.state != HeldState::Failed)
     }
 
-    /// Whether an order about the artifact has no answer yet.
-    pub(super) fn awaits(&self, artifact: &ArtifactId) -> bool {
+    /// Whether an order for the artifact has not been answered yet.
+    pub(super) fn has_pending_order(&self, artifact: &ArtifactId) -> bool {
         self.orders
             .values()
             .any(|pending| artifact_of(&pending.order.action) == Some(artifact))
     }
 
-    /// Whether it certainly does not hold the artifact, and no order in flight can change that.
-    pub(super) fn confirmed_without(&self, artifact: &ArtifactId) -> bool {
-        let held = self.holdings().any(|held| held.artifact == *artifact);
-        self.sealed_boot().is_some() && !held && !self.awaits(artifact)
+    /// Whether it is confirmed not to have the artifact, and no order in flight can change that.
+    pub(super) fn is_confirmed_absent(&self, artifact: &ArtifactId) -> bool {
+        let is_present = self.holdings().any(|entry| entry.artifact == *artifact);
+        self.sealed_boot().is_some() && !is_present && !self.has_pending_order(artifact)
     }
 
-    /// Takes in an inventory.
+    /// Applies an inventory.
     pub(super) fn observe(
         &mut self,
         inventory: Inventory,
@@ -178,13 +188,13 @@
         now: Timestamp,
         next_operation: impl FnOnce() -> u64,
     ) -> Observation {
-        if self.dead_boots.contains(&inventory.boot) {
+        if self.ended_boots.contains(&inventory.boot) {
             return Observation::Stale;
         }
         if inventory.term > term {
-            return Observation::Overtaken(inventory.term);
+            return Observation::Superseded(inventory.term);
         }
-        self.answered_at(now);
+        self.record_answer(now);
         let boot = inventory.boot;
         let known = match self.phase {
             Phase::Unknown => None,
@@ -195,7 +205,7 @@
         if known != Some(boot) {
             let operation = next_operation();
             self.phase = Phase::Verifying { boot, operation };
-            self.take_in(inventory);
+            self.set_inventory(inventory);
             return Observation::Applied;
         }
         let older = self.inventory.as_ref().is_some_and(|current| {
@@ -204,80 +214,81 @@
         if older {
             return Observation::Stale;
         }
-        self.take_in(inventory);
+        self.set_inventory(inventory);
         Observation::Applied
     }
 
-    /// Whether something on it is loading or unloading.
+    /// Whether an artifact is loading or unloading on it.
     pub(super) fn is_in_transit(&self) -> bool {
         self.in_transit
     }
 
-    fn take_in(&mut self, inventory: Inventory) {
-        let mut states = inventory.artifacts.iter().map(|held| held.state);
+    fn set_inventory(&mut self, inventory: Inventory) {
+        let mut states = inventory.artifacts.iter().map(|entry| entry.state);
         self.in_transit =
             states.any(|state| matches!(state, HeldState::Loading | HeldState::Unloading));
         self.inventory = Some(inventory);
     }
 
-    fn answered_at(&mut self, now: Timestamp) {
-        self.read = now;
-        if self.observer == ObserverWord::Doubt {
-            self.observer = ObserverWord::Known;
+    fn record_answer(&mut self, now: Timestamp) {
+        self.last_answer = now;
+        if self.observer == ObserverReport::Unconfirmed {
+            self.observer = ObserverReport::Confirmed;
         }
         self.failing_since = None;
     }
 
-    /// Takes in that the observer found the inventory as it was. Only the very state that is known
-    /// here counts: any other is read by the coordinator itself, and none settles an order.
-    pub(super) fn observed(&mut self, version: InventoryVersion, now: Timestamp) {
+    /// Applies an observer's report that the inventory is unchanged. Only the version known here
+    /// counts as confirmation: any other is read by the coordinator itself. No report settles an
+    /// order.
+    pub(super) fn confirm_inventory(&mut self, version: InventoryVersion, now: Timestamp) {
         let known = self.inventory.as_ref().map(Inventory::version);
         if known == Some(version) {
-            self.observer = ObserverWord::Known;
-            self.answered_at(now);
+            self.observer = ObserverReport::Confirmed;
+            self.record_answer(now);
         } else {
-            self.doubt();
+            self.mark_unconfirmed();
         }
     }
 
-    /// Notes that the observer's word is to be looked into.
-    pub(super) fn doubt(&mut self) {
-        self.observer = ObserverWord::Doubt;
+    /// Marks the observer's report as one that the coordinator must check by a read of its own.
+    pub(super) fn mark_unconfirmed(&mut self) {
+        self.observer = ObserverReport::Unconfirmed;
     }
 
-    /// Notes that a read of the inventory failed.
-    pub(super) fn read_failed(&mut self, now: Timestamp) {
+    /// Records that a read of the inventory failed.
+    pub(super) fn record_read_failure(&mut self, now: Timestamp) {
         self.failing_since.get_or_insert(now);
     }
 
-    /// The engine has accepted the term: what older boots were sent is void.
+    /// Records that the engine has accepted the term. Orders to older boots are void.
     pub(super) fn seal(&mut self, boot: BootId) {
         self.phase = Phase::Sealed { boot };
         let old = self.orders.values().map(|pending| pending.order.boot);
-        self.dead_boots.extend(old.filter(|other| *other != boot));
+        self.ended_boots.extend(old.filter(|other| *other != boot));
         self.orders.retain(|_, pending| pending.order.boot == boot);
     }
 
-    /// The engine says that it has another boot than the one an order was meant for.
-    pub(super) fn other_boot(&mut self, dead: BootId) {
-        self.dead_boots.insert(dead);
-        self.orders.retain(|_, pending| pending.order.boot != dead);
+    /// Handles the engine's answer that its boot is not the one that an order was meant for.
+    pub(super) fn on_boot_mismatch(&mut self, ended: BootId) {
+        self.ended_boots.insert(ended);
+        self.orders.retain(|_, pending| pending.order.boot != ended);
         self.phase = Phase::Unknown;
         self.read_sent = None;
     }
 
-    /// Adds an order; it goes out with the next [`due_orders`](Self::due_orders).
+    /// Adds an order, which is sent by the next [`due_orders`](Self::due_orders).
     pub(super) fn add_order(&mut self, order: Order) {
         let pending = PendingOrder {
             order,
             sent: Timestamp::ZERO,
             sends: 0,
-            missed: 0,
+            undelivered: 0,
         };
         self.orders.insert(pending.order.id, pending);
     }
 
-    /// Orders to send now, for the first time or again.
+    /// Orders to send now, either for the first time or as a retry.
     pub(super) fn due_orders(&mut self, now: Timestamp, retry: Duration) -> Vec<Order> {
         let mut due = Vec::new();
         for pending in self.orders.values_mut() {
@@ -290,14 +301,14 @@
         due
     }
 
-    /// Takes out the order that an answer settles.
-    pub(super) fn answered(&mut self, order: OrderId) -> Option<Order> {
+    /// Removes and returns the order that an answer settles.
+    pub(super) fn settle_order(&mut self, order: OrderId) -> Option<Order> {
         let pending = self.orders.remove(&order)?;
         Some(pending.order)
     }
 
-    /// Notes that an order got no answer. Returns it if it certainly never arrived.
-    pub(super) fn unanswered(
+    /// Records that an order got no answer. Returns it if none of its sends arrived.
+    pub(super) fn record_no_answer(
         &mut self,
         order: OrderId,
         fault: EngineFault,
@@ -306,16 +317,16 @@
         self.failing_since.get_or_insert(now);
         let pending = self.orders.get_mut(&order)?;
         if fault == EngineFault::Unreachable {
-            pending.missed += 1;
+            pending.undelivered += 1;
         }
-        if pending.missed < pending.sends || pending.order.action == OrderAction::Seal {
+        if pending.undelivered < pending.sends || pending.order.action == OrderAction::Seal {
             return None;
         }
-        self.answered(order)
+        self.settle_order(order)
     }
 
-    /// Forgets every order about an artifact. Only [a weakness](super::Weakness) does so.
-    pub(super) fn forget_orders(&mut self, artifact: &ArtifactId) {
+    /// Removes every order for an artifact. Used only with [a weakness](super::Weakness).
+    pub(super) fn remove_orders(&mut self, artifact: &ArtifactId) {
         self.orders
             .retain(|_, pending| artifact_of(&pending.order.action) != Some(artifact));
     }
@@ -335,35 +346,35 @@
             }
             _ => settings.inventory_poll,
         };
-        if now.since(self.read) < interval {
+        if now.since(self.last_answer) < interval {
             return false;
         }
         self.read_sent = Some(now);
         true
     }
 
-    /// Time between own reads of an idle runner.
+    /// Interval between the coordinator's own reads of an idle runner.
     fn idle_interval(&self, settings: &CoordinatorSettings) -> Duration {
-        if self.observer == ObserverWord::Doubt || self.failing_since.is_some() {
+        if self.observer == ObserverReport::Unconfirmed || self.failing_since.is_some() {
             Duration::ZERO
-        } else if self.observer == ObserverWord::Known {
-            settings.inventory_refresh * OBSERVER_PATIENCE
+        } else if self.observer == ObserverReport::Confirmed {
+            settings.inventory_refresh * MAX_MISSED_OBSERVER_READS
         } else {
             settings.inventory_refresh
         }
     }
 
-    /// Notes that a read of the inventory was answered, well or not.
-    pub(super) fn read_answered(&mut self, answered: bool, now: Timestamp) {
+    /// Records the outcome of a read of the inventory.
+    pub(super) fn record_read(&mut self, answered: bool, now: Timestamp) {
         if answered {
             self.read_sent = None;
         } else {
-            self.read_failed(now);
+            self.record_read_failure(now);
         }
     }
 }
 
-/// The artifact that an order is about.
+/// The artifact that an order concerns.
 pub(super) fn artifact_of(action: &OrderAction) -> Option<&ArtifactId> {
     match action {
         OrderAction::Seal => None,
@@ -371,7 +382,7 @@
     }
 }
 
-/// The inventory that came with an answer.
+/// The inventory contained in an answer.
 pub(super) fn inventory_of(answer: &OrderAnswer) -> Option<&Inventory> {
     match answer {
         OrderAnswer::Accepted(inventory) => Some(inventory),
--- a/crates/control/src/coordinator/unneeded.rs
+++ b/crates/control/src/coordinator/unneeded.rs
@@ -198,22 +198,22 @@
     pub(super) fn find_useless_slots(&mut self, context: &Context) {
         for key in self.slot_slice(context) {
             if self.is_useless(&key, context) {
-                self.useless.insert(key);
+                self.unused_slots.insert(key);
             }
         }
     }
 
     /// Gives up slots of machines that are gone, and those of no use.
     pub(super) fn release_slots(&mut self, context: &Context) {
-        let mut useless = std::mem::take(&mut self.useless);
+        let mut useless = std::mem::take(&mut self.unused_slots);
         useless.retain(|key| self.placement.slots().contains(key) && self.is_useless(key, context));
-        let gone = self.gone.iter();
+        let gone = self.departed.iter();
         let of_gone = gone.flat_map(|name| self.placement.on_runner(name));
         let given_up: Vec<Slot> = of_gone.chain(&useless).cloned().collect();
         for key in given_up {
             self.placement.wish_removed(&key);
         }
-        self.useless = useless;
+        self.unused_slots = useless;
     }
 
     /// Whether a free slot is one that the configuration does not allow, or on a runner that does
@@ -273,7 +273,7 @@
             return false;
         }
         if self.is_empty(key, context) {
-            self.drop_load(key);
+            self.remove_load(key);
             self.placement.wish_removed(key);
             return true;
         }
--- a/crates/control/src/coordinator/views.rs
+++ b/crates/control/src/coordinator/views.rs
@@ -1,4 +1,4 @@
-//! What operators see of the zone.
+//! Views of the zone's state for operators.
 
 use std::time::Duration;
 
@@ -10,10 +10,10 @@
 use super::interface::Decision;
 use super::leading::Leading;
 
-/// A runner as operators see it.
+/// A runner as shown to operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RunnerView {
-    /// Its name.
+    /// The runner's name.
     pub runner: RunnerName,
     /// Its address, `ip:port`.
     pub address: String,
@@ -23,18 +23,18 @@
     pub leaving: bool,
     /// Whether it has not answered for a while.
     pub unreachable: bool,
-    /// What it held when last read.
+    /// Its inventory as last read.
     pub inventory: Option<Inventory>,
     /// Its last load report.
     pub load: LoadReport,
 }
 
-/// A replica as operators see it.
+/// A replica as shown to operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReplicaView {
-    /// What and where.
+    /// The artifact and its runner.
     pub slot: Slot,
-    /// How far it is, or `None` if the slot is recorded and nothing is there.
+    /// Its state, or `None` if the slot is recorded but the runner does not have the artifact.
     pub state: Option<HeldState>,
     /// Requests running and waiting on its runner, as last reported.
     pub outstanding: u32,
@@ -42,33 +42,33 @@
     pub remaining: Option<Duration>,
 }
 
-/// An artifact that somebody waits for, as operators see it.
+/// An artifact that requests wait for, as shown to operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WaitingView {
-    /// What is waited for.
+    /// The artifact.
     pub artifact: ArtifactId,
     /// Requests waiting at all gateways.
     pub waiting: u32,
-    /// Since when, as an age.
+    /// How long requests have been waiting.
     pub since: Duration,
     /// Highest priority among them.
     pub priority: u8,
 }
 
 impl Coordinator {
-    /// The term under which this daemon coordinates the zone, if it does.
+    /// The term under which this daemon coordinates the zone; `None` if it does not.
     pub fn leading(&self) -> Option<Term> {
         let leading = self.leading.as_ref()?;
         leading.placement.fenced().then_some(leading.term)
     }
 
-    /// The zone's runners as the coordinator knows them.
+    /// The zone's runners as known to the coordinator.
     pub fn runners(&self) -> Vec<RunnerView> {
         let leading = self.leading.as_ref();
         leading.map_or_else(Vec::new, |leading| leading.runner_views(self.last_now))
     }
 
-    /// The zone's slots and what is in them.
+    /// The zone's slots and the replicas in them.
     pub fn replicas(&self) -> Vec<ReplicaView> {
         let leading = self.leading.as_ref();
         leading.map_or_else(Vec::new, |leading| leading.replica_views(self.last_now))
@@ -99,7 +99,7 @@
         leading.map_or_else(Vec::new, |leading| leading.failures.artifacts())
     }
 
-    /// The last decisions about a model's artifacts with their age, latest first.
+    /// The most recent decisions about a model's artifacts with their age, most recent first.
     pub fn explain(&self, model: &ModelName) -> Vec<(Duration, Decision)> {
         self.journal.explain(model, self.last_now)
     }
@@ -124,10 +124,10 @@
         slots
             .map(|slot| {
                 let runner = self.runners.get(&slot.runner);
-                let held = runner.and_then(|runner| runner.held(&slot.artifact));
+                let entry = runner.and_then(|runner| runner.held(&slot.artifact));
                 ReplicaView {
                     slot: slot.clone(),
-                    state: held.map(|held| held.state),
+                    state: entry.map(|entry| entry.state),
                     outstanding: runner
                         .map_or(0, |runner| runner.report.running + runner.report.waiting),
                     remaining: self.loads.get(slot).map(|load| load.remaining(now)),
--- a/crates/control/src/coordinator/weakness.rs
+++ b/crates/control/src/coordinator/weakness.rs
@@ -1,24 +1,24 @@
-//! Faults that proofs put in on purpose.
+//! Rules that tests disable deliberately.
 
-/// A rule that a coordinator leaves out, so that a test can show that the rule is needed and that
-/// the test notices. Only [`Weakness::None`] is fit for use.
+/// A rule that a coordinator does not enforce, so that a test can show that the rule is needed and
+/// that its absence is detected. Only [`Weakness::None`] is fit for production use.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Weakness {
-    /// Every rule is kept.
+    /// Every rule is enforced.
     #[default]
     None,
     /// Orders are sent to a runner whose inventory was read before the term was raised there.
     NoSeal,
-    /// The new boot of a runner is sealed without a look at the placement record.
+    /// The new boot of a runner is sealed without a check of the placement record.
     UnverifiedBoot,
-    /// Memory and slot of a load are freed when its order gets no answer in time.
+    /// The memory and the slot of a load are freed when its order times out.
     FreeOnTimeout,
-    /// A slot is removed when the unload is ordered and not when it is confirmed.
+    /// A slot is removed when the unload is ordered instead of when it is confirmed.
     EarlySlotRemoval,
-    /// Units of quota are raised without a look at the sum.
+    /// Quota units are raised without a check of their sum.
     UncheckedRaise,
-    /// Slots are added before the quota record was written under the own term.
+    /// Slots are added before the quota record has been written under the own term.
     UnclaimedQuota,
-    /// A write of the slots with unknown outcome is taken as not carried out.
+    /// A write of the placement record with unknown outcome is treated as failed.
     UnknownIsFailed,
 }
--- a/crates/control/src/node/mod.rs
+++ b/crates/control/src/node/mod.rs
@@ -329,12 +329,12 @@
             } = report;
             match load {
                 Some(load) => self.load_reported(runner.clone(), load),
-                None => self.coordinate(CoordinatorEvent::RunnerSilent(runner.clone())),
+                None => self.coordinate(CoordinatorEvent::RunnerUnanswered(runner.clone())),
             }
             match inventory {
                 InventoryNews::Unread => {}
                 InventoryNews::Same(version) => {
-                    self.coordinate(CoordinatorEvent::InventoryHolds(runner, version));
+                    self.coordinate(CoordinatorEvent::InventoryUnchanged(runner, version));
                 }
                 InventoryNews::Changed(inventory) => {
                     let inventory = Ok(inventory);
--- a/crates/control/tests/coordinator/properties.rs
+++ b/crates/control/tests/coordinator/properties.rs
@@ -90,7 +90,7 @@
     let strategy = (schedules(), proptest::num::u64::ANY);
     let result = runner(20, 100).run(&strategy, |(schedule, seed)| {
         let mut world = World::new(seed, Weakness::None);
-        world.settings.least_slice = 0;
+        world.settings.min_slice = 0;
         let world = safe_in(world, &schedule)?;
         live(world, usize::try_from(seed % 1_000).unwrap_or(0))
     });
--- a/crates/control/tests/coordinator/support/observers.rs
+++ b/crates/control/tests/coordinator/support/observers.rs
@@ -44,7 +44,8 @@
                     runner: runner.clone(),
                     inventory: Ok(inventory.clone()),
                 };
-                let holds = CoordinatorEvent::InventoryHolds(runner.clone(), inventory.version());
+                let holds =
+                    CoordinatorEvent::InventoryUnchanged(runner.clone(), inventory.version());
                 self.tell_at(self.now + EARLIEST, name.clone(), start, read.clone());
                 self.tell_at(self.now + EARLIEST, name.clone(), start, holds.clone());
                 if is_told_late {
