--- a/crates/control/src/coordinator/blocks.rs
+++ b/crates/control/src/coordinator/blocks.rs
@@ -25,7 +25,9 @@
         artifact: &ArtifactId,
         context: &Context,
     ) -> Block {
-        let until = self.failures.pause(artifact, context.now, context.settings);
+        let until = self
+            .failures
+            .back_off(artifact, context.now, context.settings);
         Block::Refused(ResultCode::LoadFailed, until.since(context.now))
     }
 
@@ -86,8 +88,8 @@
     ) -> Block {
         let others = self.quotas.other_zones(subject);
         if !others.is_empty() {
-            let redirected_at = self.sent_on.entry(artifact.clone());
-            redirected_at.or_insert(context.now);
+            let redirected_since = self.redirected_since.entry(artifact.clone());
+            redirected_since.or_insert(context.now);
         }
         let is_requested = self
             .quotas
@@ -107,8 +109,8 @@
         artifact: &ArtifactId,
         context: &Context,
     ) -> Duration {
-        match self.sent_on.get(artifact) {
-            Some(redirected_at) => context.demands.max_renewal_age(artifact, *redirected_at),
+        match self.redirected_since.get(artifact) {
+            Some(redirected_since) => context.demands.max_renewal_age(artifact, *redirected_since),
             // There was no redirect for lack of units, so only memory can be missing.
             None if self.quotas.units(&subject_of(artifact)) == 0 => Duration::ZERO,
             None => demand_age(artifact, context),
@@ -132,7 +134,7 @@
             is_expected |= state == Some(HeldState::Unloading);
             if !is_expected && self.may_be_evicted_for(&slot, artifact, context) {
                 self.evict(&slot);
-                self.made_way.insert(slot.artifact, context.now);
+                self.replaced_at.insert(slot.artifact, context.now);
                 is_expected = true;
             }
         }
--- a/crates/control/src/coordinator/needs.rs
+++ b/crates/control/src/coordinator/needs.rs
@@ -22,12 +22,12 @@
     /// Starts the quota reads and writes that are due.
     pub(super) fn step_quotas(&mut self, subjects: &BTreeSet<QuotaSubject>, context: &Context) {
         let targets = &self.wanted;
-        self.sent_on
+        self.redirected_since
             .retain(|artifact, _| targets.contains_key(artifact));
         let reading = self.quotas.read_all(context.now);
         self.actions.extend(reading);
         if !context.may_record {
-            self.unstepped.extend(subjects.iter().cloned());
+            self.unwritten_quotas.extend(subjects.iter().cloned());
             return;
         }
         for subject in subjects {
@@ -123,7 +123,8 @@
     /// Whether the artifact of a slot is held or being loaded there, on a runner that serves.
     fn is_loaded(&self, key: &Slot, now: Timestamp) -> bool {
         let mut retaining_runners = self.retaining_runners(&key.artifact, now);
-        retaining_runners.any(|(name, _)| *name == key.runner) || self.live_load(key, now).is_some()
+        retaining_runners.any(|(name, _)| *name == key.runner)
+            || self.active_load(key, now).is_some()
     }
 
     /// Whether the zone can use units of a subject. Units of an adapter are usable only where its base
--- a/crates/control/src/coordinator/plan_scope.rs
+++ b/crates/control/src/coordinator/plan_scope.rs
@@ -10,7 +10,7 @@
 use flaxward_types::records::{QuotaSubject, Slot};
 
 use super::leading::{Context, Leading};
-use super::runner::Use;
+use super::runner::Availability;
 use super::slots::subject_of;
 
 /// Number of full slices that cover all required or held artifacts once. Plans that an event
@@ -39,7 +39,7 @@
 
 /// Number of entries to check in one housekeeping round so that `rounds` rounds cover all of them.
 fn round_size(all: usize, rounds: usize, context: &Context) -> usize {
-    let min = context.settings.least_slice * MIN_SLICES_PER_ROUND;
+    let min = context.settings.min_slice * MIN_SLICES_PER_ROUND;
     all.div_ceil(rounds).max(min)
 }
 
@@ -77,7 +77,7 @@
         } else {
             usize::MAX
         };
-        all.div_ceil(slices).max(context.settings.least_slice)
+        all.div_ceil(slices).max(context.settings.min_slice)
     }
 
     /// Artifacts whose requirements are recomputed although no event has touched them.
@@ -102,11 +102,11 @@
     fn touch_by_runners(&mut self, context: &Context) {
         for (name, runner) in &mut self.runners {
             let serves = runner.serves(context.now) && !self.drained.contains(name);
-            let current_use = Use {
+            let availability = Availability {
                 serves,
                 takes_loads: serves && runner.sealed_boot().is_some(),
             };
-            if std::mem::replace(&mut runner.last_use, current_use) == current_use {
+            if std::mem::replace(&mut runner.last_availability, availability) == availability {
                 continue;
             }
             let slots = self.placement.slots().on_runner(name);
@@ -160,7 +160,7 @@
         subjects.extend(self.contested.iter().cloned());
         self.quotas_due.extend(self.placement.take_changed());
         if context.may_record {
-            self.quotas_due.append(&mut self.unstepped);
+            self.quotas_due.append(&mut self.unwritten_quotas);
         }
         let due = std::iter::from_fn(|| self.quotas_due.pop_first());
         subjects.extend(due.take(MAX_QUOTAS_PER_PLAN));
@@ -169,7 +169,7 @@
         }
         // Units may still be requested for an artifact that is no longer required.
         let concerned = scope.iter().filter(|artifact| {
-            self.wanted.contains_key(artifact) || self.sent_on.contains_key(artifact)
+            self.wanted.contains_key(artifact) || self.redirected_since.contains_key(artifact)
         });
         subjects.extend(concerned.map(subject_of));
         subjects.insert(QuotaSubject::WeightStore);
--- a/crates/control/src/coordinator/planner.rs
+++ b/crates/control/src/coordinator/planner.rs
@@ -32,7 +32,7 @@
             return std::mem::take(&mut self.touched);
         }
         self.placement.clear_requested_changes();
-        self.give_up_gone(context);
+        self.remove_departed(context);
         let housekeeping = context.now >= self.next_housekeeping;
         if housekeeping {
             self.next_housekeeping = context.now + HOUSEKEEPING_INTERVAL;
@@ -115,7 +115,7 @@
         let loading = self
             .loads
             .keys()
-            .filter(|slot| slot.artifact == *artifact && self.live_load(slot, now).is_some());
+            .filter(|slot| slot.artifact == *artifact && self.active_load(slot, now).is_some());
         runners.extend(loading.map(|slot| &slot.runner));
         u32::try_from(runners.len()).unwrap_or(u32::MAX)
     }
@@ -179,7 +179,7 @@
     /// version: the requests that waited then were sent to the replica that existed.
     fn is_stale_demand(&self, artifact: &ArtifactId, demand: &DemandSummary) -> bool {
         let is_gone = !self.holdings.contains(artifact);
-        is_gone && demand.waiting_reported_at <= self.made_way.get(artifact).copied()
+        is_gone && demand.waiting_reported_at <= self.replaced_at.get(artifact).copied()
     }
 
     /// Decides loads for the required artifacts in scope, in order of priority and deadline. The
@@ -258,7 +258,7 @@
             deadline: target.deadline,
         };
         let runner = choice.runner.clone();
-        self.made_way.remove(artifact);
+        self.replaced_at.remove(artifact);
         self.loads.insert(slot(artifact, &runner), load);
         let estimate_ms = millis(choice.estimate);
         let kind = DecisionKind::Load {
