--- a/crates/control/src/coordinator/events.rs
+++ b/crates/control/src/coordinator/events.rs
@@ -255,7 +255,7 @@
         match change {
             LeaseChange::None => {}
             LeaseChange::Lost => self.resign(actions),
-            LeaseChange::Acquired(term) => {
+            LeaseChange::Taken(term) => {
                 self.resign(actions);
                 let generator = ChaCha8Rng::seed_from_u64(self.generator.random());
                 let mut leading = Leading::new(
--- a/crates/control/src/coordinator/leading.rs
+++ b/crates/control/src/coordinator/leading.rs
@@ -274,7 +274,7 @@
                 let changed = self.holdings.replace(name, runner.holdings());
                 self.touched.extend(changed);
             }
-            Observation::Superseded(term) => self.observe_term(term),
+            Observation::Overtaken(term) => self.observe_term(term),
         }
     }
 
--- a/crates/control/src/coordinator/lease.rs
+++ b/crates/control/src/coordinator/lease.rs
@@ -22,7 +22,7 @@
     /// No change.
     None,
     /// This daemon now holds the lease.
-    Acquired(Term),
+    Taken(Term),
     /// This daemon no longer holds the lease.
     Lost,
 }
@@ -31,9 +31,9 @@
 #[derive(Clone, Debug)]
 enum Operation {
     Read,
-    Acquire { lease: ZoneLease, sent: Timestamp },
+    Take { lease: ZoneLease, sent: Timestamp },
     Renew { lease: ZoneLease, sent: Timestamp },
-    Release,
+    HandBack,
 }
 
 /// A lease that this daemon holds.
@@ -169,7 +169,7 @@
             renewals: held.lease.renewals + 1,
             ..held.lease.clone()
         };
-        self.operation = Some(Operation::Release);
+        self.operation = Some(Operation::HandBack);
         CoordinatorAction::WriteLease(Some(held.revision), lease)
     }
 
@@ -213,7 +213,7 @@
             duration_ms: millis(settings.lease_duration),
             renewals: nonce,
         };
-        self.operation = Some(Operation::Acquire {
+        self.operation = Some(Operation::Take {
             lease: lease.clone(),
             sent: now,
         });
@@ -278,7 +278,7 @@
         settings: &CoordinatorSettings,
     ) -> LeaseChange {
         match self.operation.take() {
-            Some(Operation::Acquire { lease, sent }) => match result {
+            Some(Operation::Take { lease, sent }) => match result {
                 Ok(revision) => return self.on_acquired(revision, lease, sent, now, settings),
                 Err(fault) => {
                     self.observed = None;
@@ -289,7 +289,7 @@
             Some(Operation::Renew { lease, sent }) => {
                 self.on_renewed(result, lease, sent, now, settings);
             }
-            Some(Operation::Release) => {
+            Some(Operation::HandBack) => {
                 if result == Err(StoreFault::Unavailable) {
                     self.retry(now, settings);
                 } else {
@@ -354,7 +354,7 @@
             self.next_step = now;
             return LeaseChange::None;
         }
-        LeaseChange::Acquired(term)
+        LeaseChange::Taken(term)
     }
 
     fn observe(&mut self, record: Option<(Revision, ZoneLease)>, now: Timestamp) {
--- a/crates/control/src/coordinator/runner.rs
+++ b/crates/control/src/coordinator/runner.rs
@@ -43,7 +43,7 @@
     /// Applied.
     Applied,
     /// A later coordinator has sealed the runner under this term.
-    Superseded(Term),
+    Overtaken(Term),
 }
 
 /// An order that has not been answered yet.
@@ -192,7 +192,7 @@
             return Observation::Stale;
         }
         if inventory.term > term {
-            return Observation::Superseded(inventory.term);
+            return Observation::Overtaken(inventory.term);
         }
         self.record_answer(now);
         let boot = inventory.boot;
