--- a/crates/control/benches/coordinator/gateways.rs
+++ b/crates/control/benches/coordinator/gateways.rs
@@ -1,7 +1,9 @@
-//! The gateways of the zone: what each holds of the coordinator's answers, and when it asks again.
+//! The gateways of the zone: the last answer that each has received, and the time of its next
+//! demand.
 //!
-//! They keep to the rules of `control::admission`: a demand names the answer held, requests that
-//! wait are told of each second, requests that run each 20 s, and their end after 2 s.
+//! They follow the rules of `control::admission`: a demand names the last answer received; demand
+//! with waiting requests is sent every second, demand with running requests every 20 s, and the end
+//! of demand after 2 s.
 
 use std::collections::BTreeMap;
 
@@ -10,24 +12,24 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-/// Daemons of the zone, each of them a gateway.
+/// Number of daemons in the zone, each of which is a gateway.
 const GATEWAYS: usize = 29;
-/// Gateways that use an artifact which is not busy.
-const GATEWAYS_OF_A_RARE_ARTIFACT: usize = 2;
-/// Time between renewals of demand that only runs.
+/// Number of gateways that use an artifact that is not busy.
+const GATEWAYS_PER_RARE_ARTIFACT: usize = 2;
+/// Time between renewals of a demand without waiting requests.
 const RENEWAL_MILLIS: u64 = 20_000;
 
 /// One gateway's use of one artifact.
 #[derive(Default)]
-struct Use {
-    held: Option<AnswerVersion>,
+struct ArtifactUse {
+    last_answer: Option<AnswerVersion>,
     next_demand: u64,
 }
 
 /// All gateways of the zone.
 pub struct Gateways {
     names: Vec<DaemonName>,
-    uses: BTreeMap<ArtifactId, BTreeMap<DaemonName, Use>>,
+    uses: BTreeMap<ArtifactId, BTreeMap<DaemonName, ArtifactUse>>,
 }
 
 impl Gateways {
@@ -39,18 +41,18 @@
         }
     }
 
-    /// The first by name.
+    /// The first gateway by name.
     pub fn first(&self) -> &DaemonName {
         &self.names[0]
     }
 
-    /// All of them, or a few by chance for an artifact that is not busy.
+    /// All gateways for a busy artifact, a few random ones otherwise.
     pub fn choose(&self, is_busy: bool, generator: &mut ChaCha8Rng) -> Vec<DaemonName> {
         if is_busy {
             return self.names.clone();
         }
         let first = generator.random_range(0..GATEWAYS);
-        let chosen = (0..GATEWAYS_OF_A_RARE_ARTIFACT).map(|step| (first + step) % GATEWAYS);
+        let chosen = (0..GATEWAYS_PER_RARE_ARTIFACT).map(|step| (first + step) % GATEWAYS);
         chosen.map(|number| self.names[number].clone()).collect()
     }
 
@@ -63,48 +65,52 @@
             .collect()
     }
 
-    /// Notes when a gateway is to send its next demand, in place of any time noted before.
-    pub fn plan_demand(&mut self, gateway: &DaemonName, artifact: &ArtifactId, time: u64) {
+    /// Sets the time of a gateway's next demand, replacing an earlier setting.
+    pub fn schedule_demand(&mut self, gateway: &DaemonName, artifact: &ArtifactId, time: u64) {
         let uses = self.uses.entry(artifact.clone()).or_default();
         uses.entry(gateway.clone()).or_default().next_demand = time;
     }
 
-    /// Whether a gateway is to send a demand at this very time.
+    /// Whether a gateway's next demand is due at exactly this time.
     pub fn is_due(&self, gateway: &DaemonName, artifact: &ArtifactId, time: u64) -> bool {
         let entry = self.entry(gateway, artifact);
         entry.is_some_and(|entry| entry.next_demand == time)
     }
 
-    /// The answer that a gateway holds.
-    pub fn held(&self, gateway: &DaemonName, artifact: &ArtifactId) -> Option<AnswerVersion> {
-        self.entry(gateway, artifact)?.held
+    /// The version of the last answer that a gateway received.
+    pub fn last_answer(
+        &self,
+        gateway: &DaemonName,
+        artifact: &ArtifactId,
+    ) -> Option<AnswerVersion> {
+        self.entry(gateway, artifact)?.last_answer
     }
 
-    /// A gateway takes an answer.
-    pub fn take(&mut self, gateway: &DaemonName, answer: &RouteAnswer) {
+    /// Records the answer that a gateway received.
+    pub fn record_answer(&mut self, gateway: &DaemonName, answer: &RouteAnswer) {
         let uses = self.uses.get_mut(&answer.artifact);
         if let Some(entry) = uses.and_then(|uses| uses.get_mut(gateway)) {
-            entry.held = Some(answer.version());
+            entry.last_answer = Some(answer.version());
         }
     }
 
-    /// A gateway uses an artifact no longer.
-    pub fn end(&mut self, gateway: &DaemonName, artifact: &ArtifactId) {
+    /// Ends a gateway's use of an artifact.
+    pub fn remove(&mut self, gateway: &DaemonName, artifact: &ArtifactId) {
         if let Some(uses) = self.uses.get_mut(artifact) {
             uses.remove(gateway);
         }
     }
 
-    /// Time until a gateway renews what runs. All its renewals go in one message, and the gateways
-    /// are spread evenly over the period.
+    /// Time until a gateway renews its demands without waiting requests. It sends all of them in
+    /// one message, and the gateways are spread evenly over the period.
     pub fn until_renewal(&self, gateway: &DaemonName, now: u64) -> u64 {
-        let place = self.names.iter().position(|name| name == gateway);
-        let place = place.expect("a gateway of the zone");
-        let phase = RENEWAL_MILLIS * place as u64 / GATEWAYS as u64;
+        let index = self.names.iter().position(|name| name == gateway);
+        let index = index.expect("a gateway of the zone");
+        let phase = RENEWAL_MILLIS * index as u64 / GATEWAYS as u64;
         RENEWAL_MILLIS - (now + RENEWAL_MILLIS - phase) % RENEWAL_MILLIS
     }
 
-    fn entry(&self, gateway: &DaemonName, artifact: &ArtifactId) -> Option<&Use> {
+    fn entry(&self, gateway: &DaemonName, artifact: &ArtifactId) -> Option<&ArtifactUse> {
         self.uses.get(artifact)?.get(gateway)
     }
 }
--- a/crates/control/benches/coordinator/main.rs
+++ b/crates/control/benches/coordinator/main.rs
@@ -1,9 +1,9 @@
-//! Processor time of one coordinator against the size of its zone, in virtual time.
+//! Processor time of one coordinator as a function of its zone's size, in virtual time.
 //!
 //! Run with `cargo bench -p flaxward-control`. `FLAXWARD_BENCH_RUNNERS` (a list such as `10,40`)
 //! chooses the sizes, `FLAXWARD_BENCH_WARM_UP` and `FLAXWARD_BENCH_SECONDS` the virtual time before
-//! and during the measurement, `FLAXWARD_BENCH_SEED` the seed. Builds that decide the same print the
-//! same hash of decisions.
+//! and during the measurement, `FLAXWARD_BENCH_SEED` the seed. Builds that take the same decisions
+//! print the same hash.
 
 mod gateways;
 mod models;
@@ -14,20 +14,20 @@
 use models::Region;
 use zone::{Cost, Zone};
 
-/// Runners of the zones measured; the last is a zone of the target.
-const RUNNERS: &str = "10,40,80,160,318";
+/// Default zone sizes in runners; the last is the size of a zone at the target scale.
+const DEFAULT_RUNNERS: &str = "10,40,80,160,318";
 
-fn setting(name: &str, default: u64) -> u64 {
+fn environment_number(name: &str, default: u64) -> u64 {
     let text = std::env::var(name).ok();
     text.and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
-/// Memory of this process that is resident, in bytes.
+/// Resident memory of this process in bytes.
 fn resident_bytes() -> u64 {
-    let text = std::fs::read_to_string("/proc/self/status").expect("kernel statistics");
+    let text = std::fs::read_to_string("/proc/self/status").expect("/proc/self/status is readable");
     let line = text.lines().find_map(|line| line.strip_prefix("VmRSS:"));
     let kilobytes = line.and_then(|line| line.trim().split(' ').next()?.parse::<u64>().ok());
-    kilobytes.expect("a number of kilobytes") * 1_024
+    kilobytes.expect("VmRSS in kilobytes") * 1_024
 }
 
 fn per_second(time: Duration, seconds: u64) -> f64 {
@@ -39,9 +39,9 @@
 fn measure(runners: usize, warm_up: u64, seconds: u64, seed: u64) {
     let region = Region::new(runners);
     let mut zone = Zone::new(&region, seed);
-    let before = resident_bytes();
+    let resident_before = resident_bytes();
     zone.run_until(warm_up * 1_000);
-    zone.restart_costs();
+    zone.reset_costs();
     zone.run_until((warm_up + seconds) * 1_000);
     let (slots, in_use, replicas) = zone.sizes();
     let total: Duration = zone.costs.values().map(Cost::total).sum();
@@ -57,10 +57,10 @@
         micros / 1e4,
         zone.answers / seconds,
         zone.confirmations / seconds,
-        zone.recorded,
-        zone.decisions.digest(),
+        zone.decision_count,
+        zone.decision_hash.digest(),
         per_second(
-            Duration::from_micros(resident_bytes().saturating_sub(before)),
+            Duration::from_micros(resident_bytes().saturating_sub(resident_before)),
             1_000_000
         ),
     );
@@ -76,10 +76,11 @@
 }
 
 fn main() {
-    let sizes = std::env::var("FLAXWARD_BENCH_RUNNERS").unwrap_or_else(|_| RUNNERS.to_owned());
-    let warm_up = setting("FLAXWARD_BENCH_WARM_UP", 20);
-    let seconds = setting("FLAXWARD_BENCH_SECONDS", 60);
-    let seed = setting("FLAXWARD_BENCH_SEED", 1);
+    let sizes =
+        std::env::var("FLAXWARD_BENCH_RUNNERS").unwrap_or_else(|_| DEFAULT_RUNNERS.to_owned());
+    let warm_up = environment_number("FLAXWARD_BENCH_WARM_UP", 20);
+    let seconds = environment_number("FLAXWARD_BENCH_SECONDS", 60);
+    let seed = environment_number("FLAXWARD_BENCH_SEED", 1);
     for size in sizes.split(',') {
         let runners = size.trim().parse().expect("a number of runners");
         measure(runners, warm_up, seconds, seed);
--- a/crates/control/benches/coordinator/models.rs
+++ b/crates/control/benches/coordinator/models.rs
@@ -1,4 +1,4 @@
-//! What is configured and recorded in the region of the measured zone.
+//! Configuration and stored records of the region that contains the measured zone.
 
 use std::collections::BTreeMap;
 
@@ -12,25 +12,25 @@
     VersionName, ZoneName,
 };
 
-/// Runners of a zone at the target, by which everything else is scaled.
+/// Runners of a zone at the target scale, relative to which everything else is scaled.
 const TARGET_RUNNERS: usize = 318;
-/// Models of a region at the target.
+/// Models of a region at the target scale.
 const TARGET_MODELS: usize = 590;
-/// Adapters of a region at the target.
+/// Adapters of a region at the target scale.
 const TARGET_ADAPTERS: usize = 31_000;
-/// One model of so many is busy: it has replicas on many runners all the time.
+/// One model in this many is busy: it always has replicas on many runners.
 const MODELS_PER_BUSY_MODEL: usize = 20;
 /// Runners of a zone for each replica of a busy model.
 const RUNNERS_PER_REPLICA: usize = 13;
-/// Revision of everything at the start.
-const FIRST_REVISION: Revision = Revision(1);
-/// Loads from the weight store at one time.
+/// Initial revision of all records and items.
+const INITIAL_REVISION: Revision = Revision(1);
+/// Maximum number of concurrent loads from the weight store.
 const PARALLEL_LOADS: u32 = 24;
 /// Memory of a model that is not busy, and of an adapter, in bytes.
 const MODEL_BYTES: u64 = 60 << 30;
 const ADAPTER_BYTES: u64 = 1 << 30;
 
-/// The models of a region, sized for a zone with so many runners.
+/// The zones, models and adapters of a region, scaled to the number of runners per zone.
 pub struct Region {
     pub zones: Vec<ZoneName>,
     pub runners: Vec<RunnerName>,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Replicas that the zone keeps of a model, and may have.
+    /// Minimum and maximum number of replicas of a model in the zone.
     fn copies(&self, model: usize) -> u32 {
         if is_busy(model) {
             u32::try_from((self.runners.len() / RUNNERS_PER_REPLICA).max(1)).expect("few runners")
@@ -76,21 +76,22 @@
         owner.expect("one zone has the unit")
     }
 
-    /// The slots of the measured zone, which is the first: each artifact that it has units of.
+    /// The slots of the measured zone, which is the first: those of each artifact of which it has
+    /// units.
     pub fn slots(&self) -> Vec<Slot> {
         let mut slots = Vec::new();
         for (model, artifact) in self.artifacts() {
-            let here = is_busy(model) || self.home_zone(model) == &self.zones[0];
-            let single = artifact.is_adapter() || !is_busy(model);
-            if !here || (artifact.is_adapter() && self.home_zone(model) != &self.zones[0]) {
+            let is_in_zone = is_busy(model) || self.home_zone(model) == &self.zones[0];
+            let has_one_copy = artifact.is_adapter() || !is_busy(model);
+            if !is_in_zone || (artifact.is_adapter() && self.home_zone(model) != &self.zones[0]) {
                 continue;
             }
-            let copies = if single { 1 } else { self.copies(model) };
+            let copies = if has_one_copy { 1 } else { self.copies(model) };
             for copy in 0..copies as usize {
-                let place = (model + copy * RUNNERS_PER_REPLICA) % self.runners.len();
+                let index = (model + copy * RUNNERS_PER_REPLICA) % self.runners.len();
                 slots.push(Slot {
                     artifact: artifact.clone(),
-                    runner: self.runners[place].clone(),
+                    runner: self.runners[index].clone(),
                 });
             }
         }
@@ -111,7 +112,7 @@
             }
         });
         all.chain([(QuotaSubject::WeightStore, PARALLEL_LOADS)])
-            .map(|(subject, limit)| (FIRST_REVISION, self.quota(subject, limit)))
+            .map(|(subject, limit)| (INITIAL_REVISION, self.quota(subject, limit)))
             .collect()
     }
 
@@ -122,7 +123,7 @@
             subject,
             limit,
             wanted: BTreeMap::new(),
-            rule: FIRST_REVISION,
+            rule: INITIAL_REVISION,
             terms: self
                 .zones
                 .iter()
@@ -153,12 +154,12 @@
         }
         let items = items
             .into_iter()
-            .map(|(key, item)| (key, FIRST_REVISION, item));
-        Configuration::new(FIRST_REVISION, items)
+            .map(|(key, item)| (key, INITIAL_REVISION, item));
+        Configuration::new(INITIAL_REVISION, items)
     }
 }
 
-/// Whether a model has replicas on many runners all the time.
+/// Whether a model always has replicas on many runners.
 pub fn is_busy(model: usize) -> bool {
     model.is_multiple_of(MODELS_PER_BUSY_MODEL)
 }
--- a/crates/control/benches/coordinator/zone.rs
+++ b/crates/control/benches/coordinator/zone.rs
@@ -1,6 +1,6 @@
-//! One zone in virtual time: a coordinator before a store, engines and gateways that do not fail.
+//! One zone in virtual time: a coordinator with a store, engines and gateways that do not fail.
 //!
-//! Only the processor time spent inside [`Coordinator::handle`] is counted.
+//! Only the processor time spent in [`Coordinator::handle`] is measured.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -23,39 +23,39 @@
 use crate::gateways::Gateways;
 use crate::models::{Region, bytes, is_busy, model_number};
 
-/// One rare model of so many is in use at the start.
-const MODELS_PER_MODEL_IN_USE: usize = 10;
-/// One adapter of so many is in use at the start, if its model is.
+/// One rare model in this many is in use at the start.
+const RARE_MODELS_PER_MODEL_IN_USE: usize = 10;
+/// One adapter in this many is in use at the start, if its model is.
 const ADAPTERS_PER_ADAPTER_IN_USE: usize = 4;
-/// Share of the zone's artifacts that wake in an hour, and as many rest.
-const WAKES_PER_HOUR: f64 = 0.096;
+/// Fraction of the zone's artifacts that come into use per hour; as many go out of use.
+const ACTIVATIONS_PER_HOUR: f64 = 0.096;
 /// Accelerator memory of a runner, in bytes.
 const RUNNER_BYTES: u64 = 640 << 30;
-/// Time that the store and the engines take to answer.
-const ANSWER_MILLIS: u64 = 3;
-/// Time that a load takes.
+/// Response time of the store and the engines.
+const RESPONSE_MILLIS: u64 = 3;
+/// Duration of a load.
 const LOAD_MILLIS: u64 = 4_000;
 /// Time between ticks, and between load reports of a runner.
 const TICK_MILLIS: u64 = 50;
 const REPORT_MILLIS: u64 = 2_000;
-/// Time between demands of a gateway at which requests wait.
+/// Time between demands of a gateway with waiting requests.
 const WAITING_DEMAND_MILLIS: u64 = 1_000;
-/// Time after which a gateway tells that its requests have ended.
-const END_MILLIS: u64 = 2_000;
+/// Time after which a gateway reports that its requests have ended.
+const END_OF_DEMAND_MILLIS: u64 = 2_000;
 /// Time between changes of the configuration: 11,000 a day.
-const CONFIGURE_MILLIS: u64 = 7_855;
+const CONFIGURATION_CHANGE_MILLIS: u64 = 7_855;
 
-/// What happens at some time.
-enum Happening {
+/// An event of the simulation, scheduled for a point in virtual time.
+enum SimulationEvent {
     Tick,
-    Tell(Box<CoordinatorEvent>),
+    Deliver(Box<CoordinatorEvent>),
     Order(RunnerName, Box<Order>),
-    Read(RunnerName),
-    Finish(RunnerName, ArtifactId),
-    Renew(DaemonName, ArtifactId),
-    Report(RunnerName),
-    Wake,
-    Configure,
+    ReadInventory(RunnerName),
+    FinishLoad(RunnerName, ArtifactId),
+    RenewDemand(DaemonName, ArtifactId),
+    ReportLoad(RunnerName),
+    ChangeUsage,
+    ChangeConfiguration,
 }
 
 /// Processor time of each event of one kind.
@@ -65,17 +65,17 @@
 }
 
 impl Cost {
-    /// Number of the events.
+    /// Number of events.
     pub fn events(&self) -> u64 {
         self.times.len() as u64
     }
 
-    /// Time of all of them.
+    /// Total time of all events.
     pub fn total(&self) -> Duration {
         self.times.iter().sum()
     }
 
-    /// Time of the one in the middle, which holds no plan.
+    /// Median time of an event, which excludes planning.
     pub fn median(&self) -> Duration {
         let mut times = self.times.clone();
         times.sort_unstable();
@@ -83,11 +83,11 @@
     }
 }
 
-/// The zone.
+/// The measured zone.
 pub struct Zone {
     now: u64,
-    queue: BTreeMap<(u64, u64), Happening>,
-    scheduled: u64,
+    queue: BTreeMap<(u64, u64), SimulationEvent>,
+    scheduled_count: u64,
     generator: ChaCha8Rng,
     coordinator: Coordinator,
     configuration: Configuration,
@@ -99,10 +99,10 @@
     gateways: Gateways,
     in_use: BTreeSet<ArtifactId>,
     waiting: BTreeSet<ArtifactId>,
-    wake_millis: u64,
+    usage_change_millis: u64,
     pub costs: BTreeMap<&'static str, Cost>,
-    pub decisions: Xxh3,
-    pub recorded: u64,
+    pub decision_hash: Xxh3,
+    pub decision_count: u64,
     pub answers: u64,
     pub confirmations: u64,
 }
@@ -123,11 +123,12 @@
         let artifacts: BTreeSet<&ArtifactId> = slots.iter().map(|slot| &slot.artifact).collect();
         #[allow(clippy::cast_precision_loss, clippy::cast_possible_truncation)]
         #[allow(clippy::cast_sign_loss)]
-        let wake_millis = (3_600_000.0 / (artifacts.len() as f64 * WAKES_PER_HOUR)) as u64;
+        let usage_change_millis =
+            (3_600_000.0 / (artifacts.len() as f64 * ACTIVATIONS_PER_HOUR)) as u64;
         let mut zone = Self {
             now: 0,
             queue: BTreeMap::new(),
-            scheduled: 0,
+            scheduled_count: 0,
             generator,
             coordinator,
             configuration: region.configuration(),
@@ -139,18 +140,18 @@
             gateways,
             in_use,
             waiting: BTreeSet::new(),
-            wake_millis,
+            usage_change_millis,
             costs: BTreeMap::new(),
-            decisions: Xxh3::new(),
-            recorded: 0,
+            decision_hash: Xxh3::new(),
+            decision_count: 0,
             answers: 0,
             confirmations: 0,
         };
-        zone.begin(region);
+        zone.schedule_initial_events(region);
         zone
     }
 
-    fn begin(&mut self, region: &Region) {
+    fn schedule_initial_events(&mut self, region: &Region) {
         let machines = region
             .runners
             .iter()
@@ -162,14 +163,17 @@
                 role: MachineRole::Engine,
                 leaving: false,
             });
-        self.tell_in(0, CoordinatorEvent::Machines(machines.collect()));
-        self.tell_in(0, CoordinatorEvent::Rank(0));
-        self.at(0, Happening::Tick);
-        self.at(self.wake_millis, Happening::Wake);
-        self.at(CONFIGURE_MILLIS, Happening::Configure);
+        self.deliver_in(0, CoordinatorEvent::Machines(machines.collect()));
+        self.deliver_in(0, CoordinatorEvent::Rank(0));
+        self.schedule(0, SimulationEvent::Tick);
+        self.schedule(self.usage_change_millis, SimulationEvent::ChangeUsage);
+        self.schedule(
+            CONFIGURATION_CHANGE_MILLIS,
+            SimulationEvent::ChangeConfiguration,
+        );
         for name in &region.runners {
             let first = self.generator.random_range(0..REPORT_MILLIS);
-            self.at(first, Happening::Report(name.clone()));
+            self.schedule(first, SimulationEvent::ReportLoad(name.clone()));
         }
         for artifact in self.in_use.clone() {
             for gateway in self.gateways_of(&artifact) {
@@ -179,98 +183,103 @@
         }
     }
 
-    /// The slots, the demands and the loaded replicas of the zone, to tell its size.
+    /// The numbers of slots, artifacts in use and replicas of the zone.
     pub fn sizes(&self) -> (usize, usize, usize) {
-        let held = self.inventories.values();
-        let replicas = held.map(|held| held.artifacts.len()).sum();
+        let inventories = self.inventories.values();
+        let replicas = inventories.map(|inventory| inventory.artifacts.len()).sum();
         (self.slots.len(), self.in_use.len(), replicas)
     }
 
-    /// Forgets the costs so far.
-    pub fn restart_costs(&mut self) {
+    /// Discards the costs measured so far.
+    pub fn reset_costs(&mut self) {
         self.costs.clear();
         self.answers = 0;
         self.confirmations = 0;
     }
 
-    /// Lets the zone run until a time, in milliseconds.
+    /// Runs the simulation until a point in time, in milliseconds.
     pub fn run_until(&mut self, end: u64) {
         while let Some(entry) = self.queue.first_entry() {
             if entry.key().0 > end {
                 return;
             }
-            let ((time, _), happening) = entry.remove_entry();
+            let ((time, _), event) = entry.remove_entry();
             self.now = time;
-            self.happen(happening);
+            self.process(event);
         }
     }
 
-    fn at(&mut self, delay: u64, happening: Happening) {
-        self.scheduled += 1;
+    fn schedule(&mut self, delay: u64, event: SimulationEvent) {
+        self.scheduled_count += 1;
         self.queue
-            .insert((self.now + delay, self.scheduled), happening);
+            .insert((self.now + delay, self.scheduled_count), event);
     }
 
-    /// Has a gateway send its next demand after a delay, and no earlier one.
+    /// Schedules a gateway's next demand after a delay, replacing one scheduled before.
     fn demand_in(&mut self, delay: u64, gateway: DaemonName, artifact: &ArtifactId) {
         let time = self.now + delay;
-        self.gateways.plan_demand(&gateway, artifact, time);
-        self.at(delay, Happening::Renew(gateway, artifact.clone()));
+        self.gateways.schedule_demand(&gateway, artifact, time);
+        self.schedule(
+            delay,
+            SimulationEvent::RenewDemand(gateway, artifact.clone()),
+        );
     }
 
-    fn tell_in(&mut self, delay: u64, event: CoordinatorEvent) {
-        self.at(delay, Happening::Tell(Box::new(event)));
+    fn deliver_in(&mut self, delay: u64, event: CoordinatorEvent) {
+        self.schedule(delay, SimulationEvent::Deliver(Box::new(event)));
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Tick => {
-                self.at(TICK_MILLIS, Happening::Tick);
-                self.tell(CoordinatorEvent::Tick);
+    fn process(&mut self, event: SimulationEvent) {
+        match event {
+            SimulationEvent::Tick => {
+                self.schedule(TICK_MILLIS, SimulationEvent::Tick);
+                self.deliver(CoordinatorEvent::Tick);
             }
-            Happening::Tell(event) => self.tell(*event),
-            Happening::Order(runner, order) => self.order(runner, &order),
-            Happening::Read(runner) => {
+            SimulationEvent::Deliver(event) => self.deliver(*event),
+            SimulationEvent::Order(runner, order) => self.handle_order(runner, &order),
+            SimulationEvent::ReadInventory(runner) => {
                 let inventory = Ok(self.inventories[&runner].clone());
                 let event = CoordinatorEvent::InventoryRead { runner, inventory };
-                self.tell_in(ANSWER_MILLIS, event);
+                self.deliver_in(RESPONSE_MILLIS, event);
             }
-            Happening::Finish(runner, artifact) => self.finish(&runner, &artifact),
-            Happening::Renew(gateway, artifact) => self.renew(gateway, &artifact),
-            Happening::Report(runner) => {
-                self.at(REPORT_MILLIS, Happening::Report(runner.clone()));
+            SimulationEvent::FinishLoad(runner, artifact) => self.finish_load(&runner, &artifact),
+            SimulationEvent::RenewDemand(gateway, artifact) => {
+                self.renew_demand(gateway, &artifact)
+            }
+            SimulationEvent::ReportLoad(runner) => {
+                self.schedule(REPORT_MILLIS, SimulationEvent::ReportLoad(runner.clone()));
                 let report = LoadReport {
                     running: self.generator.random_range(0..20),
                     ..LoadReport::default()
                 };
-                self.tell(CoordinatorEvent::LoadReported(runner, report));
+                self.deliver(CoordinatorEvent::LoadReported(runner, report));
             }
-            Happening::Wake => self.wake(),
-            Happening::Configure => self.configure(),
+            SimulationEvent::ChangeUsage => self.change_usage(),
+            SimulationEvent::ChangeConfiguration => self.change_configuration(),
         }
     }
 
-    /// Tells the coordinator and counts what that costs.
-    fn tell(&mut self, event: CoordinatorEvent) {
-        let kind = kind_of(&event);
-        let before = processor_time();
+    /// Delivers an event to the coordinator and measures its processor time.
+    fn deliver(&mut self, event: CoordinatorEvent) {
+        let kind = event_kind(&event);
+        let started_at = processor_time();
         let actions = self
             .coordinator
             .handle(event, Timestamp(self.now), &self.configuration);
-        let time = processor_time().saturating_sub(before);
+        let time = processor_time().saturating_sub(started_at);
         let cost = self.costs.entry(kind).or_default();
         cost.times.push(time);
         for action in actions {
-            self.note(&action);
-            self.carry_out(action);
+            self.hash_decision(&action);
+            self.execute(action);
         }
     }
 
-    /// Takes what was decided into the hash, so that two builds can be compared.
-    fn note(&mut self, action: &CoordinatorAction) {
+    /// Adds a decision to the hash, so that two builds can be compared.
+    fn hash_decision(&mut self, action: &CoordinatorAction) {
         let text = match action {
             CoordinatorAction::Record(decision) => {
-                self.recorded += 1;
+                self.decision_count += 1;
                 format!("{decision:?}")
             }
             CoordinatorAction::WritePlacement(_, record) => format!("{:?}", record.slots),
@@ -283,18 +292,21 @@
         if std::env::var_os("FLAXWARD_BENCH_TRACE").is_some() && text.len() < 1_000 {
             println!("{:>8} {text}", self.now);
         }
-        self.decisions.update(&self.now.to_le_bytes());
-        self.decisions.update(text.as_bytes());
+        self.decision_hash.update(&self.now.to_le_bytes());
+        self.decision_hash.update(text.as_bytes());
     }
 
-    fn carry_out(&mut self, action: CoordinatorAction) {
+    fn execute(&mut self, action: CoordinatorAction) {
         match action {
             CoordinatorAction::ReadLease => {
-                self.tell_in(ANSWER_MILLIS, CoordinatorEvent::LeaseRead(Ok(None)));
+                self.deliver_in(RESPONSE_MILLIS, CoordinatorEvent::LeaseRead(Ok(None)));
             }
             CoordinatorAction::WriteLease(..) => {
                 let revision = self.next_revision();
-                self.tell_in(ANSWER_MILLIS, CoordinatorEvent::LeaseWritten(Ok(revision)));
+                self.deliver_in(
+                    RESPONSE_MILLIS,
+                    CoordinatorEvent::LeaseWritten(Ok(revision)),
+                );
             }
             CoordinatorAction::ReadPlacement => {
                 let record = ZonePlacement {
@@ -302,34 +314,37 @@
                     slots: self.slots.clone(),
                 };
                 let read = Ok(Some((self.revision, record)));
-                self.tell_in(ANSWER_MILLIS, CoordinatorEvent::PlacementRead(read));
+                self.deliver_in(RESPONSE_MILLIS, CoordinatorEvent::PlacementRead(read));
             }
             CoordinatorAction::WritePlacement(_, record) => {
                 self.term = record.term;
                 self.slots = record.slots;
                 let revision = self.next_revision();
                 let written = CoordinatorEvent::PlacementWritten(Ok(revision));
-                self.tell_in(ANSWER_MILLIS, written);
+                self.deliver_in(RESPONSE_MILLIS, written);
             }
             CoordinatorAction::ReadQuotas => {
                 let read = CoordinatorEvent::QuotasRead(Ok(self.quotas.clone()));
-                self.tell_in(ANSWER_MILLIS, read);
+                self.deliver_in(RESPONSE_MILLIS, read);
             }
             CoordinatorAction::WriteQuota(_, quota) => {
                 let revision = self.next_revision();
                 let written = CoordinatorEvent::QuotaWritten(quota.subject, Ok(revision));
-                self.tell_in(ANSWER_MILLIS, written);
+                self.deliver_in(RESPONSE_MILLIS, written);
             }
             CoordinatorAction::SendOrder { runner, order, .. } => {
-                self.at(ANSWER_MILLIS, Happening::Order(runner, Box::new(order)));
+                self.schedule(
+                    RESPONSE_MILLIS,
+                    SimulationEvent::Order(runner, Box::new(order)),
+                );
             }
             CoordinatorAction::ReadInventory { runner, .. } => {
-                self.at(ANSWER_MILLIS, Happening::Read(runner));
+                self.schedule(RESPONSE_MILLIS, SimulationEvent::ReadInventory(runner));
             }
             CoordinatorAction::Confirm(..) => self.confirmations += 1,
             CoordinatorAction::Answer(gateway, answer) => {
                 self.answers += 1;
-                self.gateways.take(&gateway, &answer);
+                self.gateways.record_answer(&gateway, &answer);
                 if answer.outlook == Outlook::Ready {
                     self.waiting.remove(&answer.artifact);
                 }
@@ -343,7 +358,7 @@
         self.revision
     }
 
-    fn order(&mut self, runner: RunnerName, order: &Order) {
+    fn handle_order(&mut self, runner: RunnerName, order: &Order) {
         let inventory = self.inventories.get_mut(&runner).expect("a runner");
         inventory.term = order.term;
         match &order.action {
@@ -357,14 +372,14 @@
                     bytes: *bytes,
                     state: HeldState::Loading,
                 });
-                let finish = Happening::Finish(runner.clone(), artifact.clone());
-                self.at(LOAD_MILLIS, finish);
+                let finish = SimulationEvent::FinishLoad(runner.clone(), artifact.clone());
+                self.schedule(LOAD_MILLIS, finish);
             }
             OrderAction::Unload { artifact } => {
                 inventory.sequence += 1;
                 inventory
                     .artifacts
-                    .retain(|held| held.artifact != *artifact);
+                    .retain(|entry| entry.artifact != *artifact);
             }
         }
         let inventory = self.inventories[&runner].clone();
@@ -373,20 +388,20 @@
             order: order.id,
             answer: Ok(OrderAnswer::Accepted(inventory)),
         };
-        self.tell_in(ANSWER_MILLIS, answered);
+        self.deliver_in(RESPONSE_MILLIS, answered);
     }
 
-    fn finish(&mut self, runner: &RunnerName, artifact: &ArtifactId) {
+    fn finish_load(&mut self, runner: &RunnerName, artifact: &ArtifactId) {
         let inventory = self.inventories.get_mut(runner).expect("a runner");
         inventory.sequence += 1;
-        let held = inventory.artifacts.iter_mut();
-        for held in held.filter(|held| held.artifact == *artifact) {
-            held.state = HeldState::Ready;
+        let entries = inventory.artifacts.iter_mut();
+        for entry in entries.filter(|entry| entry.artifact == *artifact) {
+            entry.state = HeldState::Ready;
         }
     }
 
-    /// A gateway sends its demand, until the artifact is no longer in use.
-    fn renew(&mut self, gateway: DaemonName, artifact: &ArtifactId) {
+    /// Sends a gateway's demand and schedules the next one, until the artifact is no longer in use.
+    fn renew_demand(&mut self, gateway: DaemonName, artifact: &ArtifactId) {
         if !self.gateways.is_due(&gateway, artifact, self.now) {
             return;
         }
@@ -399,11 +414,11 @@
             priority: 1,
             earliest_deadline_ms: 30_000,
             arrivals: u32::from(in_use),
-            known: self.gateways.held(&gateway, artifact),
+            known: self.gateways.last_answer(&gateway, artifact),
         };
-        self.tell(CoordinatorEvent::Demanded(gateway.clone(), demand));
+        self.deliver(CoordinatorEvent::Demanded(gateway.clone(), demand));
         if !in_use {
-            self.gateways.end(&gateway, artifact);
+            self.gateways.remove(&gateway, artifact);
             return;
         }
         let delay = if waits {
@@ -414,37 +429,40 @@
         self.demand_in(delay, gateway, artifact);
     }
 
-    /// One artifact wakes and another one rests.
-    fn wake(&mut self) {
-        self.at(self.wake_millis, Happening::Wake);
-        let place = self.generator.random_range(0..self.slots.len());
-        let artifact = self.slots[place].artifact.clone();
+    /// Brings one artifact into use and takes another one out of use.
+    fn change_usage(&mut self) {
+        self.schedule(self.usage_change_millis, SimulationEvent::ChangeUsage);
+        let index = self.generator.random_range(0..self.slots.len());
+        let artifact = self.slots[index].artifact.clone();
         if self.in_use.insert(artifact.clone()) {
             self.waiting.insert(artifact.clone());
             for gateway in self.gateways_of(&artifact) {
                 self.demand_in(0, gateway, &artifact);
             }
         }
-        let place = self.generator.random_range(0..self.in_use.len());
-        let resting = self.in_use.iter().nth(place).cloned();
-        if let Some(artifact) = resting.filter(|artifact| !is_busy(model_number(artifact))) {
+        let index = self.generator.random_range(0..self.in_use.len());
+        let deactivated = self.in_use.iter().nth(index).cloned();
+        if let Some(artifact) = deactivated.filter(|artifact| !is_busy(model_number(artifact))) {
             self.in_use.remove(&artifact);
             for gateway in self.gateways.using(&artifact) {
-                self.demand_in(END_MILLIS, gateway, &artifact);
+                self.demand_in(END_OF_DEMAND_MILLIS, gateway, &artifact);
             }
         }
     }
 
-    /// Some item is written again.
-    fn configure(&mut self) {
-        self.at(CONFIGURE_MILLIS, Happening::Configure);
+    /// Writes a random configuration item again.
+    fn change_configuration(&mut self) {
+        self.schedule(
+            CONFIGURATION_CHANGE_MILLIS,
+            SimulationEvent::ChangeConfiguration,
+        );
         let revision = self.next_revision();
         let changed = self
             .generator
             .random_range(0..self.configuration.items().count());
         let items = self.configuration.items().enumerate();
-        let items = items.map(|(place, (key, known, item))| {
-            let known = if place == changed { revision } else { known };
+        let items = items.map(|(index, (key, known, item))| {
+            let known = if index == changed { revision } else { known };
             (key.clone(), known, item.clone())
         });
         self.configuration = Configuration::new(revision, items);
@@ -465,7 +483,7 @@
                 && generator.random_range(0..ADAPTERS_PER_ADAPTER_IN_USE) == 0
         } else {
             is_busy(model_number(artifact))
-                || generator.random_range(0..MODELS_PER_MODEL_IN_USE) == 0
+                || generator.random_range(0..RARE_MODELS_PER_MODEL_IN_USE) == 0
         };
         if chosen {
             in_use.insert(artifact.clone());
@@ -502,7 +520,7 @@
     inventories
 }
 
-fn kind_of(event: &CoordinatorEvent) -> &'static str {
+fn event_kind(event: &CoordinatorEvent) -> &'static str {
     match event {
         CoordinatorEvent::Tick => "tick",
         CoordinatorEvent::Demanded(..) => "demand",
--- a/crates/control/src/admission.rs
+++ b/crates/control/src/admission.rs
@@ -296,7 +296,7 @@
 
     fn end(&mut self, request: RequestId) -> Option<Running> {
         let running = self.running.remove(&request)?;
-        self.router.ended(&running.runner);
+        self.router.record_end(&running.runner);
         if let Some(state) = self.artifacts.get_mut(&running.waiting.arrival.artifact) {
             let route = state.routes.zone_mut(&running.zone);
             route.running = route.running.saturating_sub(1);
--- a/crates/control/src/admission/dispatching.rs
+++ b/crates/control/src/admission/dispatching.rs
@@ -74,7 +74,7 @@
         let route = state.routes.zone_mut(&zone);
         route.running += 1;
         route.arrivals += u32::from(!waiting.counted);
-        self.router.began(&replica.runner);
+        self.router.record_start(&replica.runner);
         let running = Running {
             waiting: waiting.clone(),
             runner: replica.runner.clone(),
--- a/crates/control/src/keep_alive/price.rs
+++ b/crates/control/src/keep_alive/price.rs
@@ -1,4 +1,4 @@
-//! What cold starts and idle seconds cost.
+//! Cost of cold starts and of idle seconds.
 
 use std::time::Duration;
 
@@ -6,13 +6,13 @@
 
 use super::{ACCELERATOR_BYTES, IDLE_SECONDS_PER_COLD_SECOND};
 
-/// What things cost, in any unit, and the bounds on a stay.
+/// Costs, in an arbitrary common unit, and the policy's bounds on the keep-alive time.
 pub(super) struct Price {
     pub(super) idle_second: f64,
     pub(super) cold_start: f64,
     pub(super) load_seconds: f64,
-    pub(super) shortest: Duration,
-    pub(super) longest: Duration,
+    pub(super) min_duration: Duration,
+    pub(super) max_duration: Duration,
 }
 
 impl Price {
@@ -21,27 +21,27 @@
         let accelerators = bytes as f64 / ACCELERATOR_BYTES as f64;
         let weight = policy.cold_start_weight.clamp(0.0, 1.0);
         let load_seconds = load_time.as_secs_f64();
-        let shortest = Duration::from_millis(policy.keep_alive_min_ms);
+        let min_duration = Duration::from_millis(policy.keep_alive_min_ms);
         Self {
             idle_second: (1.0 - weight) * accelerators,
             cold_start: weight * load_seconds * IDLE_SECONDS_PER_COLD_SECOND,
             load_seconds,
-            shortest,
-            longest: Duration::from_millis(policy.keep_alive_max_ms).max(shortest),
+            min_duration,
+            max_duration: Duration::from_millis(policy.keep_alive_max_ms).max(min_duration),
         }
     }
 
-    /// A stay of so many seconds within the bounds. With idle seconds for free, the longest.
+    /// Clamps a keep-alive time to the bounds. If idle seconds cost nothing, the maximum.
     pub(super) fn clamp(&self, seconds: f64) -> Duration {
         if self.idle_second <= 0.0 {
-            return self.longest;
+            return self.max_duration;
         }
-        whole_millis(seconds).clamp(self.shortest, self.longest)
+        whole_millis(seconds).clamp(self.min_duration, self.max_duration)
     }
 }
 
-/// Seconds as a duration in whole milliseconds, the unit of every timestamp, so that a decision
-/// taken at the very time it names is taken as due.
+/// Rounds to whole milliseconds, the unit of every timestamp, so that a decision evaluated exactly
+/// at the time it names counts as due.
 pub(super) fn whole_millis(seconds: f64) -> Duration {
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     let millis = (seconds * 1_000.0).round() as u64;
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,8 +1,8 @@
-//! The decisions of flaxward as pure state machines: `(state, event, now) -> actions`.
+//! The control logic of flaxward as pure state machines: `(state, event, now) -> actions`.
 //!
-//! No module here reads a clock, opens a socket or knows tokio. Randomness comes from a seed given
-//! at construction. So the same code runs in a daemon, in a property test in virtual time, and many
-//! times in one hollow process.
+//! No module here reads a clock, opens a socket or depends on tokio. Randomness comes from a seed
+//! given at construction. The same code therefore runs in a daemon, in a property test in virtual
+//! time, and as many instances in one simulation process.
 
 #![warn(clippy::pedantic)]
 #![allow(clippy::module_name_repetitions, clippy::must_use_candidate)]
--- a/crates/control/src/router.rs
+++ b/crates/control/src/router.rs
@@ -1,9 +1,9 @@
-//! Choice of one replica among those that take work.
+//! Load balancing: the choice of one replica among those that accept requests.
 //!
-//! Without a prompt prefix, two candidates are drawn at random and the less loaded one is taken
+//! Without a prompt prefix, two candidates are drawn at random and the less loaded one is chosen
 //! (power of two choices). With one, candidates are ranked by rendezvous hashing of the prefix and
-//! the first whose load stays within the bound is taken (consistent hashing with bounded load), so
-//! that equal prefixes meet the same prefix cache and no shared index is needed.
+//! the first whose load is within the bound is chosen (consistent hashing with bounded loads), so
+//! that equal prefixes reach the same prefix cache without a shared index.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,10 +13,10 @@
 use rand_chacha::ChaCha8Rng;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Load of a replica chosen by prefix, at most, in hundredths of the mean load.
+/// Maximum load of a replica chosen by prefix, in percent of the mean load.
 pub const LOAD_BOUND_PERCENT: u64 = 125;
 
-/// Chooses replicas and counts what this daemon has outstanding at each runner.
+/// Chooses replicas and counts this daemon's outstanding requests at each runner.
 #[derive(Clone, Debug)]
 pub struct Router {
     random: ChaCha8Rng,
@@ -25,7 +25,7 @@
 }
 
 impl Router {
-    /// A router whose random draws follow from a seed.
+    /// A router whose random choices are determined by a seed.
     pub fn new(seed: u64) -> Self {
         Self {
             random: ChaCha8Rng::seed_from_u64(seed),
@@ -34,23 +34,23 @@
         }
     }
 
-    /// Replaces the set of runners that take no new work.
+    /// Replaces the set of runners that accept no new requests.
     pub fn set_leaving(&mut self, leaving: BTreeSet<RunnerName>) {
         self.leaving = leaving;
     }
 
-    /// Whether a runner takes no new work.
+    /// Whether a runner accepts no new requests.
     pub fn is_leaving(&self, runner: &RunnerName) -> bool {
         self.leaving.contains(runner)
     }
 
-    /// Notes that a request was sent to a runner.
-    pub fn began(&mut self, runner: &RunnerName) {
+    /// Counts a request that was sent to a runner as outstanding.
+    pub fn record_start(&mut self, runner: &RunnerName) {
         *self.outstanding.entry(runner.clone()).or_insert(0) += 1;
     }
 
-    /// Notes that a request at a runner has ended.
-    pub fn ended(&mut self, runner: &RunnerName) {
+    /// Stops counting a request at a runner that has ended.
+    pub fn record_end(&mut self, runner: &RunnerName) {
         let Some(count) = self.outstanding.get_mut(runner) else {
             return;
         };
@@ -65,12 +65,13 @@
         self.outstanding.get(runner).copied().unwrap_or(0)
     }
 
-    /// Load of a replica: what this daemon has there and what its coordinator last heard.
+    /// Load of a replica: this daemon's outstanding requests plus those last reported by the
+    /// coordinator.
     pub fn load(&self, replica: &Replica) -> u64 {
         u64::from(self.outstanding(&replica.runner)) + u64::from(replica.outstanding)
     }
 
-    /// Chooses among replicas, never one that is leaving. `None` if all are.
+    /// Chooses a replica whose runner is not leaving; `None` if there is none.
     pub fn choose<'a>(
         &mut self,
         replicas: impl IntoIterator<Item = &'a Replica>,
@@ -109,8 +110,8 @@
             .copied()
     }
 
-    /// Load that no replica may pass when one more request is placed. At least one candidate is
-    /// always below it, because it is not less than the mean with the new request.
+    /// Load that no replica may exceed when one more request is placed. At least one candidate is
+    /// always below it, because it is not less than the mean including the new request.
     fn load_bound(&self, candidates: &[&Replica]) -> u64 {
         let total: u64 = candidates.iter().map(|replica| self.load(replica)).sum();
         let shares = 100 * candidates.len() as u64;
--- a/crates/control/tests/coordinator/cases.rs
+++ b/crates/control/tests/coordinator/cases.rs
@@ -1,4 +1,4 @@
-//! Named faults of a zone, one at a time.
+//! Scenarios of single faults in a zone.
 
 use flaxward_control::coordinator::{CoordinatorAction, Weakness};
 use flaxward_types::engine::{Order, OrderAction};
@@ -8,31 +8,31 @@
 
 use crate::support::models::{Rules, artifact};
 use crate::support::schedule::Fault;
-use crate::support::world::{GIGABYTE, World};
+use crate::support::simulation::{GIGABYTE, Simulation};
 
-/// By then every zone has a coordinator and every model its home.
-const SETTLED: u64 = 10_000;
-const LONG: u64 = 100_000;
+/// Time by which every zone has a coordinator and every model has its slots.
+const SETTLED_MILLIS: u64 = 10_000;
+const LONG_MILLIS: u64 = 100_000;
 const SEED: u64 = 11;
 
-/// Numbers of the artifacts `three@v1`, which only the zone alpha may load, and `four@v2`, which has
-/// no home; of the gateway of alpha, and of alpha's first daemon.
-const THREE: u8 = 2;
-const FOUR_SECOND: u8 = 4;
-const ALPHA: u8 = 0;
-const FIRST: u8 = 0;
+/// Indices of the artifacts `three@v1`, which only the zone alpha may load, and `four@v2`, which
+/// has no slot; of the gateway of alpha; and of the first daemon of alpha.
+const THREE_V1: u8 = 2;
+const FOUR_V2: u8 = 4;
+const ALPHA_GATEWAY: u8 = 0;
+const FIRST_DAEMON: u8 = 0;
 
-fn settled(seed: u64, weakness: Weakness) -> World {
-    let mut world = World::new(seed, weakness);
-    world.run_until(SETTLED);
-    world
+fn settled_simulation(seed: u64, weakness: Weakness) -> Simulation {
+    let mut simulation = Simulation::new(seed, weakness);
+    simulation.run_until(SETTLED_MILLIS);
+    simulation
 }
 
-fn alpha_wants(world: &mut World, number: u8) {
-    world.inject(Fault::Demand {
-        gateway: ALPHA,
+fn demand_in_alpha(simulation: &mut Simulation, number: u8) {
+    simulation.inject(Fault::Demand {
+        gateway: ALPHA_GATEWAY,
         artifact: number,
-        millis: LONG,
+        millis: LONG_MILLIS,
     });
 }
 
@@ -40,27 +40,30 @@
     DaemonName::literal("alpha-gateway")
 }
 
-/// What the gateway of alpha was last told of an artifact.
-fn told(world: &World, name: &str) -> (Option<Outlook>, Vec<RunnerName>) {
-    let want = &world.gateways[&alpha_gateway()].1[&artifact(name)];
-    (want.outlook.clone(), want.ready.clone())
+/// The last answer for an artifact that the gateway of alpha received.
+fn reported_answer(simulation: &Simulation, name: &str) -> (Option<Outlook>, Vec<RunnerName>) {
+    let demand = &simulation.gateways[&alpha_gateway()].1[&artifact(name)];
+    (demand.outlook.clone(), demand.ready.clone())
 }
 
 /// The zone and slot of an artifact.
-fn home_of(world: &World, name: &str) -> (ZoneName, Slot) {
+fn slot_of(simulation: &Simulation, name: &str) -> (ZoneName, Slot) {
     let zones = ["alpha", "beta", "gamma"].map(ZoneName::literal);
     let find = |zone: ZoneName| {
-        let mut slots = world.store.placement(&zone)?.slots.iter();
+        let mut slots = simulation.store.placement(&zone)?.slots.iter();
         let slot = slots.find(|slot| slot.artifact == artifact(name))?;
         Some((zone, slot.clone()))
     };
     zones.into_iter().find_map(find).expect("a home")
 }
 
-/// The number of the runner on which an artifact has its slot.
-fn home(world: &World, name: &str) -> u8 {
-    let (_, slot) = home_of(world, name);
-    let number = world.engines.keys().position(|name| *name == slot.runner);
+/// The index of the runner on which an artifact has its slot.
+fn home_runner(simulation: &Simulation, name: &str) -> u8 {
+    let (_, slot) = slot_of(simulation, name);
+    let number = simulation
+        .engines
+        .keys()
+        .position(|name| *name == slot.runner);
     u8::try_from(number.expect("a known runner")).expect("few runners")
 }
 
@@ -68,8 +71,9 @@
     (0..3).filter(move |number| *number != home)
 }
 
-/// A name; what fails, by the number of the model's home; which artifact is wanted this long after;
-/// and what the gateway is told within which time.
+/// A name; the faults, given the index of the model's home runner; the index and the name of the
+/// artifact that is demanded and the delay before the demand; and the answer that the gateway must
+/// receive and within which time.
 type Case = (
     &'static str,
     fn(u8) -> Vec<Fault>,
@@ -92,7 +96,7 @@
     (
         "nothing fails",
         |_| vec![],
-        THREE,
+        THREE_V1,
         "three@v1",
         0,
         is_ready,
@@ -100,17 +104,25 @@
     ),
     (
         "the store has just failed",
-        |_| vec![Fault::StoreDown { millis: LONG }],
-        THREE,
+        |_| {
+            vec![Fault::StoreDown {
+                millis: LONG_MILLIS,
+            }]
+        },
+        THREE_V1,
         "three@v1",
         500,
         is_ready,
         3_500,
     ),
     (
-        "the store has failed for longer than the lease holds",
-        |_| vec![Fault::StoreDown { millis: LONG }],
-        THREE,
+        "the store has failed for longer than the lease duration",
+        |_| {
+            vec![Fault::StoreDown {
+                millis: LONG_MILLIS,
+            }]
+        },
+        THREE_V1,
         "three@v1",
         20_000,
         is_ready,
@@ -118,77 +130,91 @@
     ),
     (
         "the store has failed and the model has no slot",
-        |_| vec![Fault::StoreDown { millis: LONG }],
-        FOUR_SECOND,
+        |_| {
+            vec![Fault::StoreDown {
+                millis: LONG_MILLIS,
+            }]
+        },
+        FOUR_V2,
         "four@v2",
         20_000,
         |outlook| is_refused(outlook, ResultCode::NoSlotInOutage),
         500,
     ),
     (
-        "the store has failed and the home restarts",
+        "the store has failed and the home runner restarts",
         |home| {
             vec![
-                Fault::StoreDown { millis: LONG },
+                Fault::StoreDown {
+                    millis: LONG_MILLIS,
+                },
                 Fault::Reboot { runner: home },
             ]
         },
-        THREE,
+        THREE_V1,
         "three@v1",
         10_000,
         |outlook| is_refused(outlook, ResultCode::NoSlotInOutage),
         500,
     ),
     (
-        "the holder dies",
-        |_| vec![Fault::Kill { daemon: FIRST }],
-        THREE,
+        "the lease holder crashes",
+        |_| {
+            vec![Fault::Kill {
+                daemon: FIRST_DAEMON,
+            }]
+        },
+        THREE_V1,
         "three@v1",
         100,
         is_ready,
         9_000,
     ),
     (
-        "the holder hangs",
+        "the lease holder stalls",
         |_| {
             vec![Fault::Pause {
-                daemon: FIRST,
-                millis: LONG,
+                daemon: FIRST_DAEMON,
+                millis: LONG_MILLIS,
             }]
         },
-        THREE,
+        THREE_V1,
         "three@v1",
         100,
         is_ready,
         10_000,
     ),
     (
-        "the holder stops as planned",
-        |_| vec![Fault::Stop { daemon: FIRST }],
-        THREE,
+        "the lease holder stops gracefully",
+        |_| {
+            vec![Fault::Stop {
+                daemon: FIRST_DAEMON,
+            }]
+        },
+        THREE_V1,
         "three@v1",
         100,
         is_ready,
         5_500,
     ),
     (
-        "the home is gone without notice",
+        "the home runner is reclaimed without notice",
         |home| vec![Fault::Reclaim { runner: home }],
-        THREE,
+        THREE_V1,
         "three@v1",
         100,
         is_ready,
         12_000,
     ),
     (
-        "loads fail on the home",
+        "loads fail on the home runner",
         |home| {
             vec![Fault::FailLoads {
                 runner: home,
                 count: 1,
             }]
         },
-        THREE,
+        THREE_V1,
         "three@v1",
         100,
         is_ready,
@@ -200,7 +226,7 @@
             let failing = |runner| Fault::FailLoads { runner, count: 200 };
             (0..3).map(failing).collect()
         },
-        THREE,
+        THREE_V1,
         "three@v1",
         100,
         |outlook| is_refused(outlook, ResultCode::LoadFailed),
@@ -209,112 +235,120 @@
 ];
 
 #[test]
-fn a_zone_answers_as_expected_whatever_fails() {
-    for (name, faults, number, wanted, after, expected, within) in CASES {
-        let mut world = settled(SEED, Weakness::None);
-        let home = home(&world, "three@v1");
+fn a_zone_answers_as_expected_under_each_fault() {
+    for (name, faults, number, wanted, after, expected, timeout) in CASES {
+        let mut simulation = settled_simulation(SEED, Weakness::None);
+        let home = home_runner(&simulation, "three@v1");
         for fault in faults(home) {
-            world.inject(fault);
+            simulation.inject(fault);
         }
-        world.run_until(SETTLED + after);
-        alpha_wants(&mut world, *number);
-        let deadline = world.now + within;
+        simulation.run_until(SETTLED_MILLIS + after);
+        demand_in_alpha(&mut simulation, *number);
+        let deadline = simulation.now + timeout;
         let mut outlook = None;
-        while !outlook.as_ref().is_some_and(expected) && world.now < deadline {
-            world.run_until(world.now + 100);
-            outlook = told(&world, wanted).0;
+        while !outlook.as_ref().is_some_and(expected) && simulation.now < deadline {
+            simulation.run_until(simulation.now + 100);
+            outlook = reported_answer(&simulation, wanted).0;
         }
-        assert_eq!(world.violation, None, "{}", name);
+        assert_eq!(simulation.violation, None, "{}", name);
         let as_expected = outlook.as_ref().is_some_and(expected);
         assert!(as_expected, "{}: {outlook:?}", name);
     }
 }
 
-/// Only one zone has the unit of the model `one` and so its home.
+/// Only one zone has the quota unit of the model `one`, and thus its slot.
 #[test]
-fn in_an_outage_a_zone_without_a_unit_sends_its_callers_to_the_one_that_has_it() {
-    let mut world = settled(SEED, Weakness::None);
-    world.inject(Fault::StoreDown { millis: LONG });
-    world.run_until(world.now + 20_000);
-    let gateways: Vec<DaemonName> = world.gateways.keys().cloned().collect();
+fn in_an_outage_a_zone_without_a_quota_unit_redirects_to_the_zone_that_has_it() {
+    let mut simulation = settled_simulation(SEED, Weakness::None);
+    simulation.inject(Fault::StoreDown {
+        millis: LONG_MILLIS,
+    });
+    simulation.run_until(simulation.now + 20_000);
+    let gateways: Vec<DaemonName> = simulation.gateways.keys().cloned().collect();
     for gateway in &gateways {
-        world.demand(gateway, &artifact("one@v1"), LONG);
+        simulation.demand(gateway, &artifact("one@v1"), LONG_MILLIS);
     }
-    world.run_until(world.now + 5_000);
+    simulation.run_until(simulation.now + 5_000);
     for gateway in &gateways {
-        let outlook = &world.gateways[gateway].1[&artifact("one@v1")].outlook;
+        let outlook = &simulation.gateways[gateway].1[&artifact("one@v1")].outlook;
         assert_eq!(*outlook, Some(Outlook::Ready), "{gateway}");
     }
-    assert_eq!(world.violation, None);
+    assert_eq!(simulation.violation, None);
 }
 
-/// The model has one copy at most, and the demand for its old version is still in force.
+/// The model may have one copy, and the demand for its old version has not expired yet.
 #[test]
-fn a_new_version_takes_the_unit_of_an_old_one_that_nobody_waits_for() {
-    let mut world = settled(SEED, Weakness::None);
+fn a_new_version_takes_over_the_unit_of_an_old_version_without_waiting_requests() {
+    let mut simulation = settled_simulation(SEED, Weakness::None);
     let (old, new) = (artifact("three@v1"), artifact("three@v2"));
-    world.demand(&alpha_gateway(), &old, LONG);
-    world.run_until(world.now + 5_000);
-    assert_eq!(told(&world, "three@v1").0, Some(Outlook::Ready));
-    world.end_demand(&alpha_gateway(), &old);
-    world.set_rules(Rules {
-        second_of_three_serves: true,
+    simulation.demand(&alpha_gateway(), &old, LONG_MILLIS);
+    simulation.run_until(simulation.now + 5_000);
+    assert_eq!(
+        reported_answer(&simulation, "three@v1").0,
+        Some(Outlook::Ready)
+    );
+    simulation.end_demand(&alpha_gateway(), &old);
+    simulation.set_rules(Rules {
+        three_v2_serves: true,
         ..Rules::default()
     });
-    world.run_until(world.now + 100);
-    world.demand(&alpha_gateway(), &new, LONG);
+    simulation.run_until(simulation.now + 100);
+    simulation.demand(&alpha_gateway(), &new, LONG_MILLIS);
     for _ in 0..80 {
-        world.run_until(world.now + 100);
-        let (outlook, _) = told(&world, "three@v2");
+        simulation.run_until(simulation.now + 100);
+        let (outlook, _) = reported_answer(&simulation, "three@v2");
         let refused = matches!(outlook, Some(Outlook::Refused { .. }));
         assert!(!refused, "{outlook:?}");
     }
-    assert_eq!(told(&world, "three@v2").0, Some(Outlook::Ready));
-    assert_eq!(world.violation, None);
+    assert_eq!(
+        reported_answer(&simulation, "three@v2").0,
+        Some(Outlook::Ready)
+    );
+    assert_eq!(simulation.violation, None);
 }
 
 #[test]
 fn a_replica_moves_off_a_leaving_runner() {
-    let mut world = settled(SEED, Weakness::None);
-    let home = home(&world, "three@v1");
-    alpha_wants(&mut world, THREE);
-    world.run_until(world.now + 5_000);
-    let (_, before) = told(&world, "three@v1");
+    let mut simulation = settled_simulation(SEED, Weakness::None);
+    let home = home_runner(&simulation, "three@v1");
+    demand_in_alpha(&mut simulation, THREE_V1);
+    simulation.run_until(simulation.now + 5_000);
+    let (_, before) = reported_answer(&simulation, "three@v1");
     assert_eq!(before.len(), 1);
-    world.inject(Fault::Leave {
+    simulation.inject(Fault::Leave {
         runner: home,
-        millis: LONG,
+        millis: LONG_MILLIS,
     });
-    world.run_until(world.now + 2_500);
-    let (_, ready) = told(&world, "three@v1");
-    assert_ne!(ready, before, "the leaving runner still takes requests");
-    world.run_until(world.now + 8_000);
-    let (outlook, after) = told(&world, "three@v1");
+    simulation.run_until(simulation.now + 2_500);
+    let (_, ready) = reported_answer(&simulation, "three@v1");
+    assert_ne!(ready, before, "the leaving runner still receives requests");
+    simulation.run_until(simulation.now + 8_000);
+    let (outlook, after) = reported_answer(&simulation, "three@v1");
     assert_eq!(outlook, Some(Outlook::Ready));
     assert_ne!(after, before);
-    assert_eq!(world.violation, None);
+    assert_eq!(simulation.violation, None);
 }
 
 #[test]
-fn a_lowered_rule_unloads_and_a_raised_one_allows_again() {
-    let mut world = settled(SEED, Weakness::None);
+fn lowering_the_copy_limit_unloads_and_raising_it_allows_loads_again() {
+    let mut simulation = settled_simulation(SEED, Weakness::None);
     let subject = QuotaSubject::Model(ModelName::literal("two"));
-    let gateways: Vec<DaemonName> = world.gateways.keys().cloned().collect();
+    let gateways: Vec<DaemonName> = simulation.gateways.keys().cloned().collect();
     for gateway in &gateways {
-        world.demand(gateway, &artifact("two@v1"), 10 * LONG);
+        simulation.demand(gateway, &artifact("two@v1"), 10 * LONG_MILLIS);
     }
     for copies_of_two in [2, 1, 0, 2] {
         let rules = Rules {
             copies_of_two,
-            ..world.rules
+            ..simulation.rules
         };
-        world.set_rules(rules);
-        world.run_until(world.now + 20_000);
-        let quota = world.store.quota(&subject).expect("a quota").1;
-        assert_eq!(world.violation, None);
+        simulation.set_rules(rules);
+        simulation.run_until(simulation.now + 20_000);
+        let quota = simulation.store.quota(&subject).expect("a quota").1;
+        assert_eq!(simulation.violation, None);
         let units = quota.units.values().sum::<u32>();
         assert_eq!(units, copies_of_two, "{quota:?}");
-        let replicas = world.replicas(&subject);
+        let replicas = simulation.replicas(&subject);
         let allowed = copies_of_two.min(1) as usize..=copies_of_two as usize;
         assert!(
             allowed.contains(&replicas),
@@ -324,78 +358,78 @@
 }
 
 #[test]
-fn a_removed_model_goes_with_its_adapters() {
-    let mut world = settled(SEED, Weakness::None);
-    world.demand(&alpha_gateway(), &artifact("one:a@v1"), LONG);
-    world.run_until(world.now + 8_000);
+fn removing_a_model_unloads_its_adapters() {
+    let mut simulation = settled_simulation(SEED, Weakness::None);
+    simulation.demand(&alpha_gateway(), &artifact("one:a@v1"), LONG_MILLIS);
+    simulation.run_until(simulation.now + 8_000);
     let model = QuotaSubject::Model(ModelName::literal("one"));
-    assert_eq!(world.replicas(&model), 1);
-    world.set_rules(Rules {
+    assert_eq!(simulation.replicas(&model), 1);
+    simulation.set_rules(Rules {
         has_one: false,
-        ..world.rules
+        ..simulation.rules
     });
-    world.run_until(world.now + 15_000);
-    assert_eq!(world.replicas(&model), 0);
-    let (outlook, _) = told(&world, "one:a@v1");
+    simulation.run_until(simulation.now + 15_000);
+    assert_eq!(simulation.replicas(&model), 0);
+    let (outlook, _) = reported_answer(&simulation, "one:a@v1");
     let refused = outlook.is_some_and(|outlook| is_refused(&outlook, ResultCode::UnknownModel));
     assert!(refused);
-    assert_eq!(world.violation, None);
+    assert_eq!(simulation.violation, None);
 }
 
-/// A holder is cut off and paused; its successor moves a model; then the model's former home starts
-/// anew, while the others cannot be reached, and the former holder wakes up. No observer is there to
-/// tell it of its successor's term.
-fn former_holder_meets_a_new_boot(seed: u64, weakness: Weakness) -> Option<String> {
-    let mut world = World::new(seed, weakness);
-    world.has_observers = false;
-    world.run_until(SETTLED);
-    let home = home(&world, "three@v1");
-    world.inject(Fault::Pause {
-        daemon: FIRST,
+/// A lease holder is cut off from the store and paused, and its successor moves a model. Then the
+/// model's former runner reboots while the others are unreachable, and the former holder resumes.
+/// Without observers, it does not learn of its successor's term.
+fn former_holder_resumes_after_a_reboot(seed: u64, weakness: Weakness) -> Option<String> {
+    let mut simulation = Simulation::new(seed, weakness);
+    simulation.has_observers = false;
+    simulation.run_until(SETTLED_MILLIS);
+    let home = home_runner(&simulation, "three@v1");
+    simulation.inject(Fault::Pause {
+        daemon: FIRST_DAEMON,
         millis: 20_000,
     });
-    world.inject(Fault::CutFromStore {
-        daemon: FIRST,
-        millis: LONG,
+    simulation.inject(Fault::CutFromStore {
+        daemon: FIRST_DAEMON,
+        millis: LONG_MILLIS,
     });
-    world.run_until(SETTLED + 8_000);
-    world.inject(Fault::FailLoads {
+    simulation.run_until(SETTLED_MILLIS + 8_000);
+    simulation.inject(Fault::FailLoads {
         runner: home,
         count: 1,
     });
-    alpha_wants(&mut world, THREE);
-    world.run_until(SETTLED + 19_900);
+    demand_in_alpha(&mut simulation, THREE_V1);
+    simulation.run_until(SETTLED_MILLIS + 19_900);
     for runner in others_in_alpha(home) {
-        world.inject(Fault::CutRunner {
+        simulation.inject(Fault::CutRunner {
             runner,
-            millis: LONG,
+            millis: LONG_MILLIS,
         });
     }
-    world.inject(Fault::Reboot { runner: home });
-    world.run_until(SETTLED + 25_000);
-    world.violation
+    simulation.inject(Fault::Reboot { runner: home });
+    simulation.run_until(SETTLED_MILLIS + 25_000);
+    simulation.violation
 }
 
 #[test]
 fn a_former_holder_cannot_seal_a_new_boot() {
     let seeds = || 0..30;
-    let sound = seeds().find_map(|seed| former_holder_meets_a_new_boot(seed, Weakness::None));
+    let sound = seeds().find_map(|seed| former_holder_resumes_after_a_reboot(seed, Weakness::None));
     assert_eq!(sound, None);
-    let weak =
-        seeds().find_map(|seed| former_holder_meets_a_new_boot(seed, Weakness::UnverifiedBoot));
-    let violation = weak.expect("an unverified boot must be noticed");
+    let weak = seeds()
+        .find_map(|seed| former_holder_resumes_after_a_reboot(seed, Weakness::UnverifiedBoot));
+    let violation = weak.expect("an unverified boot must be detected");
     assert!(violation.contains("without a slot"), "{violation}");
 }
 
-/// A former holder ordered a load; the order arrives when the model is configured no longer and its
-/// successor has given up the slot, on what the runner's inventory said.
+/// A former lease holder ordered a load. The order arrives after the model was removed from the
+/// configuration and the successor has released the slot because of the runner's inventory.
 fn former_holder_orders_a_load(weakness: Weakness) -> Option<String> {
-    let mut world = settled(SEED, weakness);
-    let (zone, slot) = home_of(&world, "one@v1");
+    let mut simulation = settled_simulation(SEED, weakness);
+    let (zone, slot) = slot_of(&simulation, "one@v1");
     let order = Order {
         id: OrderId(1),
         term: Term(1),
-        boot: world.engines[&slot.runner].boot,
+        boot: simulation.engines[&slot.runner].boot,
         action: OrderAction::Load {
             artifact: slot.artifact,
             checkpoint: "weights".to_owned(),
@@ -403,59 +437,61 @@
         },
     };
     let daemon = format!("{zone}-daemon-0");
-    world.send_late_order(&daemon, slot.runner, order, SETTLED + 12_000);
+    simulation.send_delayed_order(&daemon, slot.runner, order, SETTLED_MILLIS + 12_000);
     for daemon in [0, 2, 4] {
-        world.inject(Fault::Kill { daemon });
+        simulation.inject(Fault::Kill { daemon });
     }
-    world.run_until(SETTLED + 4_000);
-    world.set_rules(Rules {
+    simulation.run_until(SETTLED_MILLIS + 4_000);
+    simulation.set_rules(Rules {
         has_one: false,
-        ..world.rules
+        ..simulation.rules
     });
-    world.run_until(SETTLED + 13_000);
-    world.violation
+    simulation.run_until(SETTLED_MILLIS + 13_000);
+    simulation.violation
 }
 
 #[test]
 fn a_former_holder_cannot_load_without_a_slot() {
     assert_eq!(former_holder_orders_a_load(Weakness::None), None);
     let violation = former_holder_orders_a_load(Weakness::NoSeal);
-    let violation = violation.expect("an order to an unsealed runner must be noticed");
+    let violation = violation.expect("an order to an unsealed runner must be detected");
     assert!(violation.contains("without a slot"), "{violation}");
 }
 
-/// A former holder gave a unit away that had no slot yet; the write arrives when its successor has
-/// recorded one.
-fn former_holder_gives_a_unit_away(weakness: Weakness) -> Option<String> {
-    let mut world = World::new(SEED, weakness);
+/// A former lease holder transferred a unit that had no slot yet. The write arrives after its
+/// successor has recorded a slot.
+fn former_holder_transfers_a_unit(weakness: Weakness) -> Option<String> {
+    let mut simulation = Simulation::new(SEED, weakness);
     let alpha = ZoneName::literal("alpha");
     let subject = QuotaSubject::Model(ModelName::literal("three"));
-    while world.store.quota(&subject).is_none() {
-        world.run_until(world.now + 1);
+    while simulation.store.quota(&subject).is_none() {
+        simulation.run_until(simulation.now + 1);
     }
-    let (revision, quota) = world.store.quota(&subject).expect("a quota");
-    let given = Quota {
+    let (revision, quota) = simulation.store.quota(&subject).expect("a quota");
+    let transferred = Quota {
         units: [(ZoneName::literal("beta"), 1)].into(),
         ..quota
     };
-    assert!(world.store.placement(&alpha).is_none_or(|placement| {
+    assert!(simulation.store.placement(&alpha).is_none_or(|placement| {
         placement
             .slots
             .iter()
             .all(|slot| slot.artifact != artifact("three@v1"))
     }));
-    world.inject(Fault::Kill { daemon: FIRST });
-    let write = CoordinatorAction::WriteQuota(Some(revision), given);
-    world.send_late("alpha-daemon-0", write, world.now + 9_000);
-    world.run_until(world.now + 5_000);
-    alpha_wants(&mut world, THREE);
-    world.run_until(world.now + 10_000);
-    world.violation
+    simulation.inject(Fault::Kill {
+        daemon: FIRST_DAEMON,
+    });
+    let write = CoordinatorAction::WriteQuota(Some(revision), transferred);
+    simulation.send_delayed_operation("alpha-daemon-0", write, simulation.now + 9_000);
+    simulation.run_until(simulation.now + 5_000);
+    demand_in_alpha(&mut simulation, THREE_V1);
+    simulation.run_until(simulation.now + 10_000);
+    simulation.violation
 }
 
 #[test]
-fn a_former_holder_cannot_give_units_away_that_are_in_use() {
-    assert_eq!(former_holder_gives_a_unit_away(Weakness::None), None);
-    let violation = former_holder_gives_a_unit_away(Weakness::UnclaimedQuota);
-    assert!(violation.is_some(), "an unclaimed quota must be noticed");
+fn a_former_holder_cannot_transfer_units_that_are_in_use() {
+    assert_eq!(former_holder_transfers_a_unit(Weakness::None), None);
+    let violation = former_holder_transfers_a_unit(Weakness::UnclaimedQuota);
+    assert!(violation.is_some(), "an unclaimed quota must be detected");
 }
--- a/crates/control/tests/coordinator/main.rs
+++ b/crates/control/tests/coordinator/main.rs
@@ -1,4 +1,4 @@
-//! Proofs of the coordinator: properties over random schedules, and named faults.
+//! Simulation tests of the coordinator: properties over random schedules, and single faults.
 
 mod cases;
 mod outages;
--- a/crates/control/tests/coordinator/support/checks.rs
+++ b/crates/control/tests/coordinator/support/checks.rs
@@ -1,4 +1,4 @@
-//! What must always hold, from the records of the engines and of the store.
+//! Invariants, checked against the state of the engines and of the store.
 
 use flaxward_control::configuration::Configuration;
 use flaxward_types::engine::{HeldState, Order, OrderAnswer};
@@ -6,13 +6,13 @@
 use flaxward_types::{ArtifactId, RunnerName};
 
 use super::models::artifact;
-use super::world::World;
+use super::simulation::Simulation;
 
-impl World {
-    pub(super) fn broken(&mut self, what: String) {
+impl Simulation {
+    pub(super) fn record_violation(&mut self, description: String) {
         let time = self.now;
         self.violation
-            .get_or_insert(format!("at {time} ms: {what}"));
+            .get_or_insert(format!("at {time} ms: {description}"));
     }
 
     pub(super) fn check_answer(
@@ -23,16 +23,16 @@
     ) {
         match answer {
             OrderAnswer::NoMemory { .. } => {
-                self.broken(format!("{runner} has no memory for {:?}", order.action));
+                self.record_violation(format!("{runner} has no memory for {:?}", order.action));
             }
-            OrderAnswer::Refused { reason } if self.refusals_count => {
-                self.broken(format!("{runner} refuses {:?}: {reason}", order.action));
+            OrderAnswer::Refused { reason } if self.refusals_are_violations => {
+                self.record_violation(format!("{runner} refuses {:?}: {reason}", order.action));
             }
             _ => {}
         }
     }
 
-    /// A load has been accepted: it has a slot, and the rule allows it.
+    /// Checks that an accepted load has a slot and is within the limit.
     pub(super) fn check_load(&mut self, runner: &RunnerName, artifact: &ArtifactId) {
         let slot = Slot {
             artifact: artifact.clone(),
@@ -43,47 +43,51 @@
             placement.is_some_and(|placement| placement.slots.contains(&slot))
         });
         if !recorded {
-            self.broken(format!("{runner} loads {artifact} without a slot"));
+            self.record_violation(format!("{runner} loads {artifact} without a slot"));
         }
         let subject = subject_of(artifact);
         let limit = self.limit(&subject);
         let replicas = self.replicas(&subject);
         if replicas > limit {
-            self.broken(format!(
+            self.record_violation(format!(
                 "{replicas} replicas of {subject:?}, {limit} allowed"
             ));
         }
         let engine = &self.engines[runner];
-        if engine.used() > engine.memory {
-            self.broken(format!("{runner} holds {} bytes", engine.used()));
+        if engine.used_memory() > engine.memory {
+            self.record_violation(format!("{runner} uses {} bytes", engine.used_memory()));
         }
     }
 
-    /// Replicas on all machines, also those on their way in or out.
+    /// Replicas on all machines, including those being loaded or unloaded.
     pub fn replicas(&self, subject: &QuotaSubject) -> usize {
-        let engines = self.engines.values().filter(|engine| engine.alive);
-        let held = engines.flat_map(|engine| engine.held.values());
-        held.filter(|held| held.state != HeldState::Failed)
-            .filter(|held| subject_of(&held.artifact) == *subject)
+        let engines = self.engines.values().filter(|engine| engine.is_running);
+        let entries = engines.flat_map(|engine| engine.entries.values());
+        entries
+            .filter(|entry| entry.state != HeldState::Failed)
+            .filter(|entry| subject_of(&entry.artifact) == *subject)
             .count()
     }
 
     pub(super) fn limit(&self, subject: &QuotaSubject) -> usize {
-        let former = self.former.iter().filter(|(_, until)| *until > self.now);
-        let allowed = former
-            .map(|(former, _)| former)
+        let previous = self
+            .previous_configurations
+            .iter()
+            .filter(|(_, until)| *until > self.now);
+        let allowed = previous
+            .map(|(configuration, _)| configuration)
             .chain([&self.configuration]);
         let limits = allowed.map(|configuration| limit(configuration, subject));
         limits.max().unwrap_or(0)
     }
 
-    /// The records agree: units within the limit, slots within the units.
+    /// Checks the stored records: units within the limit, slots within the units.
     pub(super) fn check_store(&mut self) {
-        let mut broken = Vec::new();
+        let mut violations = Vec::new();
         for (_, quota) in self.store.quotas() {
             let total: u32 = quota.units.values().sum();
             if total as usize > self.limit(&quota.subject) {
-                broken.push(format!("{total} units of {:?}", quota.subject));
+                violations.push(format!("{total} units of {:?}", quota.subject));
             }
             for zone in &self.zones {
                 let units = quota.units.get(zone).copied().unwrap_or(0) as usize;
@@ -94,12 +98,12 @@
                         .count()
                 });
                 if slots > units {
-                    broken.push(format!("{slots} slots of {:?} in {zone}", quota.subject));
+                    violations.push(format!("{slots} slots of {:?} in {zone}", quota.subject));
                 }
             }
         }
-        for what in broken {
-            self.broken(what);
+        for description in violations {
+            self.record_violation(description);
         }
     }
 }
--- a/crates/control/tests/coordinator/support/engine.rs
+++ b/crates/control/tests/coordinator/support/engine.rs
@@ -1,26 +1,26 @@
-//! A model engine: fence, boots, memory, load times, failures.
+//! A simulated model engine: fencing by term and boot, memory, loads and their failures.
 
 use std::collections::BTreeMap;
 
 use flaxward_types::engine::{Held, HeldState, Inventory, Order, OrderAction, OrderAnswer};
 use flaxward_types::{ArtifactId, BootId, OrderId, Term};
 
-/// One start of one engine after the other.
+/// An engine process; a reboot replaces its state.
 pub struct Engine {
     pub boot: BootId,
-    pub alive: bool,
+    pub is_running: bool,
     pub leaving: bool,
-    /// Loads that will fail, of those to come.
+    /// Number of subsequent loads that will fail.
     pub failing_loads: u32,
     pub memory: u64,
-    pub held: BTreeMap<ArtifactId, Held>,
+    pub entries: BTreeMap<ArtifactId, Held>,
     pub on_disk: Vec<ArtifactId>,
-    highest: Term,
+    highest_term: Term,
     sequence: u64,
-    answered: BTreeMap<OrderId, OrderAnswer>,
+    answers: BTreeMap<OrderId, OrderAnswer>,
 }
 
-/// What an order sets going.
+/// The asynchronous operation that an order starts.
 #[derive(Debug, PartialEq)]
 pub enum Effect {
     None,
@@ -32,19 +32,19 @@
     pub fn new(boot: BootId, memory: u64) -> Self {
         Self {
             boot,
-            alive: true,
+            is_running: true,
             leaving: false,
             failing_loads: 0,
             memory,
-            held: BTreeMap::new(),
+            entries: BTreeMap::new(),
             on_disk: Vec::new(),
-            highest: Term(0),
+            highest_term: Term(0),
             sequence: 0,
-            answered: BTreeMap::new(),
+            answers: BTreeMap::new(),
         }
     }
 
-    /// A new start: all that was held and seen is forgotten, the disk is not.
+    /// Restarts the engine: everything except the disk contents is lost.
     pub fn reboot(&mut self, boot: BootId) {
         *self = Self {
             on_disk: std::mem::take(&mut self.on_disk),
@@ -56,78 +56,78 @@
     pub fn inventory(&self) -> Inventory {
         Inventory {
             boot: self.boot,
-            term: self.highest,
+            term: self.highest_term,
             sequence: self.sequence,
             memory: self.memory,
-            artifacts: self.held.values().cloned().collect(),
+            artifacts: self.entries.values().cloned().collect(),
             in_memory: Vec::new(),
             on_disk: self.on_disk.clone(),
             leaving: self.leaving,
         }
     }
 
-    /// Answers an order and says what it sets going.
-    pub fn order(&mut self, order: &Order) -> (OrderAnswer, Effect) {
+    /// Answers an order and returns the operation that it starts.
+    pub fn handle_order(&mut self, order: &Order) -> (OrderAnswer, Effect) {
         if order.boot != self.boot {
             return (OrderAnswer::OtherBoot { boot: self.boot }, Effect::None);
         }
-        if order.term < self.highest {
-            let highest = self.highest;
+        if order.term < self.highest_term {
+            let highest = self.highest_term;
             return (OrderAnswer::StaleTerm { highest }, Effect::None);
         }
-        self.highest = order.term;
-        if let Some(answer) = self.answered.get(&order.id) {
-            let repeated = match answer {
+        self.highest_term = order.term;
+        if let Some(answer) = self.answers.get(&order.id) {
+            let answer = match answer {
                 OrderAnswer::Accepted(_) => OrderAnswer::Accepted(self.inventory()),
                 other => other.clone(),
             };
-            return (repeated, Effect::None);
+            return (answer, Effect::None);
         }
-        let (answer, effect) = self.act(&order.action);
-        self.answered.insert(order.id, answer.clone());
+        let (answer, effect) = self.apply(&order.action);
+        self.answers.insert(order.id, answer.clone());
         (answer, effect)
     }
 
-    fn act(&mut self, action: &OrderAction) -> (OrderAnswer, Effect) {
+    fn apply(&mut self, action: &OrderAction) -> (OrderAnswer, Effect) {
         let effect = match action {
             OrderAction::Seal => Effect::None,
             OrderAction::Load {
                 artifact, bytes, ..
             } => {
-                let base = self.held.get(&artifact.base()).map(|held| held.state);
+                let base = self.entries.get(&artifact.base()).map(|entry| entry.state);
                 if artifact.is_adapter() && base != Some(HeldState::Ready) {
-                    return (refused("no base"), Effect::None);
+                    return (refused("base model not ready"), Effect::None);
                 }
                 if self
                     .state(artifact)
                     .is_some_and(|state| state != HeldState::Failed)
                 {
-                    return (refused("held already"), Effect::None);
+                    return (refused("already loaded"), Effect::None);
                 }
-                if self.used() + bytes > self.memory {
-                    let free = self.memory - self.used();
+                if self.used_memory() + bytes > self.memory {
+                    let free = self.memory - self.used_memory();
                     return (OrderAnswer::NoMemory { free }, Effect::None);
                 }
-                self.set(artifact, *bytes, HeldState::Loading);
+                self.set_state(artifact, *bytes, HeldState::Loading);
                 Effect::Loading(artifact.clone(), *bytes)
             }
             OrderAction::Unload { artifact } => {
-                let has_adapters = self.held.values().any(|held| {
-                    let on_base = held.artifact.is_adapter() && held.artifact.base() == *artifact;
-                    on_base && held.state != HeldState::Failed
+                let has_adapters = self.entries.values().any(|entry| {
+                    let on_base = entry.artifact.is_adapter() && entry.artifact.base() == *artifact;
+                    on_base && entry.state != HeldState::Failed
                 });
                 if has_adapters {
                     return (refused("has adapters"), Effect::None);
                 }
-                match self.held.get(artifact).cloned() {
-                    Some(held) if held.state != HeldState::Failed => {
-                        self.set(artifact, held.bytes, HeldState::Unloading);
+                match self.entries.get(artifact).cloned() {
+                    Some(entry) if entry.state != HeldState::Failed => {
+                        self.set_state(artifact, entry.bytes, HeldState::Unloading);
                         Effect::Unloading(artifact.clone())
                     }
-                    // A failed load is forgotten at the next order for it.
+                    // The entry of a failed load is removed by the next order for it.
                     _ => {
                         self.sequence += 1;
-                        self.held.remove(artifact);
+                        self.entries.remove(artifact);
                         Effect::None
                     }
                 }
@@ -137,45 +137,45 @@
     }
 
     fn state(&self, artifact: &ArtifactId) -> Option<HeldState> {
-        self.held.get(artifact).map(|held| held.state)
+        self.entries.get(artifact).map(|entry| entry.state)
     }
 
-    fn set(&mut self, artifact: &ArtifactId, bytes: u64, state: HeldState) {
+    fn set_state(&mut self, artifact: &ArtifactId, bytes: u64, state: HeldState) {
         self.sequence += 1;
-        let held = Held {
+        let entry = Held {
             artifact: artifact.clone(),
             bytes,
             state,
         };
-        self.held.insert(artifact.clone(), held);
+        self.entries.insert(artifact.clone(), entry);
     }
 
-    pub fn used(&self) -> u64 {
-        self.held.values().map(|held| held.bytes).sum()
+    pub fn used_memory(&self) -> u64 {
+        self.entries.values().map(|entry| entry.bytes).sum()
     }
 
-    /// The load of an artifact ends.
+    /// Completes the load of an artifact.
     pub fn finish_load(&mut self, artifact: &ArtifactId) {
         if self.state(artifact) != Some(HeldState::Loading) {
             return;
         }
         if self.failing_loads > 0 {
             self.failing_loads -= 1;
-            self.set(artifact, 0, HeldState::Failed);
+            self.set_state(artifact, 0, HeldState::Failed);
             return;
         }
-        let bytes = self.held.get(artifact).map_or(0, |held| held.bytes);
-        self.set(artifact, bytes, HeldState::Ready);
+        let bytes = self.entries.get(artifact).map_or(0, |entry| entry.bytes);
+        self.set_state(artifact, bytes, HeldState::Ready);
         if !self.on_disk.contains(artifact) {
             self.on_disk.push(artifact.clone());
         }
     }
 
-    /// The unload of an artifact ends.
+    /// Completes the unload of an artifact.
     pub fn finish_unload(&mut self, artifact: &ArtifactId) {
         if self.state(artifact) == Some(HeldState::Unloading) {
             self.sequence += 1;
-            self.held.remove(artifact);
+            self.entries.remove(artifact);
         }
     }
 }
--- a/crates/control/tests/coordinator/support/faults.rs
+++ b/crates/control/tests/coordinator/support/faults.rs
@@ -1,30 +1,36 @@
-//! How each fault changes the world.
+//! The effect of each fault on the simulation.
 
 use flaxward_control::coordinator::CoordinatorEvent;
 use flaxward_types::{BootId, DaemonName, RunnerName};
 use rand::RngExt;
 
 use super::models::{Rules, artifacts, configuration};
-use super::schedule::{FAULTY_MILLIS, Fault};
-use super::world::{Daemon, Happening, World};
+use super::schedule::{FAULT_PHASE_MILLIS, Fault};
+use super::simulation::{Daemon, Simulation, SimulationEvent};
 
-/// Time in which a change of the rules has its full effect, once nothing fails any more.
-const IN_FORCE_MILLIS: u64 = 15_000;
+/// Time within which a configuration change takes full effect once all faults have ended.
+const ROLLOUT_MILLIS: u64 = 15_000;
 
-impl World {
-    pub(super) fn take_machine(&mut self, runner: &RunnerName) {
+impl Simulation {
+    pub(super) fn remove_machine(&mut self, runner: &RunnerName) {
         let zone = self
             .machines
             .get(runner)
             .map(|machine| machine.zone.clone());
-        let alive = self.engines.get_mut(runner).filter(|engine| engine.alive);
+        let alive = self
+            .engines
+            .get_mut(runner)
+            .filter(|engine| engine.is_running);
         let (Some(engine), Some(zone)) = (alive, zone) else {
             return;
         };
-        engine.alive = false;
+        engine.is_running = false;
         self.add_runner(&zone);
         let lag = self.generator.random_range(100..4_000);
-        self.at(self.now + lag, Happening::Unlisted(runner.clone()));
+        self.schedule(
+            self.now + lag,
+            SimulationEvent::UnlistMachine(runner.clone()),
+        );
     }
 
     pub(super) fn runner(&self, number: u8) -> RunnerName {
@@ -38,7 +44,7 @@
         (name.clone(), daemon)
     }
 
-    /// Lets a fault begin now.
+    /// Starts a fault now.
     pub fn inject(&mut self, fault: Fault) {
         let now = self.now;
         match fault {
@@ -54,40 +60,46 @@
             }
             Fault::StoreDown { millis } => self.store_down_until = now + millis,
             Fault::CutFromStore { daemon, millis } => {
-                self.daemon(daemon).1.cut_until = now + millis
+                self.daemon(daemon).1.store_unreachable_until = now + millis
             }
             Fault::Pause { daemon, millis } => self.daemon(daemon).1.paused_until = now + millis,
             Fault::Kill { daemon } => {
                 let (name, daemon) = self.daemon(daemon);
-                daemon.start += 1;
+                daemon.incarnation += 1;
                 if daemon.coordinator.take().is_some() {
-                    self.at(now + 1_500, Happening::Start(name));
+                    self.schedule(now + 1_500, SimulationEvent::Start(name));
                 }
             }
             Fault::Stop { daemon } => {
                 let (name, daemon) = self.daemon(daemon);
-                let start = daemon.start;
-                self.tell(&name, start, CoordinatorEvent::Stop);
+                let incarnation = daemon.incarnation;
+                self.deliver(&name, incarnation, CoordinatorEvent::Stop);
+            }
+            Fault::Lossy { percent, millis } => {
+                self.message_loss = (now + millis, u32::from(percent))
             }
-            Fault::Lossy { percent, millis } => self.lossy = (now + millis, u32::from(percent)),
             Fault::CutRunner { runner, millis } => {
                 let runner = self.runner(runner);
-                self.cut_runners.insert(runner, now + millis);
+                self.unreachable_runners.insert(runner, now + millis);
             }
             Fault::Reboot { runner } => {
                 let boot = BootId(self.generator.random());
                 let runner = self.runner(runner);
-                if let Some(engine) = self.engines.get_mut(&runner).filter(|engine| engine.alive) {
+                if let Some(engine) = self
+                    .engines
+                    .get_mut(&runner)
+                    .filter(|engine| engine.is_running)
+                {
                     engine.reboot(boot);
                 }
             }
-            Fault::Reclaim { runner } => self.take_machine(&self.runner(runner)),
+            Fault::Reclaim { runner } => self.remove_machine(&self.runner(runner)),
             Fault::Leave { runner, millis } => {
                 let runner = self.runner(runner);
                 if let Some(engine) = self.engines.get_mut(&runner) {
                     engine.leaving = true;
                 }
-                self.at(now + millis, Happening::MachineGone(runner));
+                self.schedule(now + millis, SimulationEvent::RemoveMachine(runner));
             }
             Fault::FailLoads { runner, count } => {
                 let runner = self.runner(runner);
@@ -95,14 +107,14 @@
                     engine.failing_loads = u32::from(count);
                 }
             }
-            Fault::BothFirst { zone, millis } => {
+            Fault::BothRankZero { zone, millis } => {
                 let zone = self.zones[usize::from(zone) % self.zones.len()].clone();
-                self.tell_ranks(&zone, true);
-                self.at(now + millis, Happening::RankZero(zone));
+                self.send_ranks(&zone, true);
+                self.schedule(now + millis, SimulationEvent::RestoreRanks(zone));
             }
             Fault::Rules { second, copies } => {
                 let rules = Rules {
-                    second_serves: second,
+                    four_v2_serves: second,
                     copies_of_two: u32::from(copies),
                     ..self.rules
                 };
@@ -111,26 +123,26 @@
         }
     }
 
-    /// Changes the configuration. The former limits may hold for a while.
+    /// Changes the configuration. Previous limits remain acceptable for some time.
     pub fn set_rules(&mut self, rules: Rules) {
         if self.rules == rules {
             return;
         }
         self.rules = rules;
         let next = configuration(self.configuration.revision().0 + 1, rules);
-        let former = std::mem::replace(&mut self.configuration, next);
-        let until = self.now.max(FAULTY_MILLIS) + IN_FORCE_MILLIS;
-        self.former.push((former, until));
+        let previous = std::mem::replace(&mut self.configuration, next);
+        let until = self.now.max(FAULT_PHASE_MILLIS) + ROLLOUT_MILLIS;
+        self.previous_configurations.push((previous, until));
     }
 
     /// Ends all faults.
-    pub fn heal(&mut self) {
+    pub fn clear_faults(&mut self) {
         self.store_down_until = 0;
         self.store_silent_until = 0;
-        self.lossy = (0, 0);
-        self.cut_runners.clear();
+        self.message_loss = (0, 0);
+        self.unreachable_runners.clear();
         for daemon in self.daemons.values_mut() {
-            daemon.cut_until = 0;
+            daemon.store_unreachable_until = 0;
             daemon.paused_until = 0;
         }
         for engine in self.engines.values_mut() {
--- a/crates/control/tests/coordinator/support/mod.rs
+++ b/crates/control/tests/coordinator/support/mod.rs
@@ -1,7 +1,7 @@
-//! A small world in virtual time in which several coordinators per zone work and fail.
+//! Deterministic simulation in virtual time of zones with several coordinators each, under faults.
 //!
-//! The invariants are checked from the records of the engines and of the store, never from what a
-//! coordinator believes.
+//! The invariants are checked against the state of the engines and of the store, never against the
+//! state of a coordinator.
 
 pub mod checks;
 pub mod engine;
@@ -11,5 +11,5 @@
 pub mod network;
 pub mod observers;
 pub mod schedule;
+pub mod simulation;
 pub mod store;
-pub mod world;
--- a/crates/control/tests/coordinator/support/models.rs
+++ b/crates/control/tests/coordinator/support/models.rs
@@ -1,17 +1,17 @@
-//! The models of the world.
+//! The models and adapters of the simulation.
 
 use bytesize::ByteSize;
 use flaxward_control::configuration::Configuration;
 use flaxward_types::configuration::{AdapterSpec, CopyRule, ModelSpec, PolicySpec, VersionSpec};
 use flaxward_types::{ArtifactId, ConfigurationItem, ItemKey, Revision, ZoneName};
 
-use super::world::GIGABYTE;
+use super::simulation::GIGABYTE;
 
 pub fn artifact(text: &str) -> ArtifactId {
     text.parse().expect("an artifact of the test")
 }
 
-/// The artifacts of the world.
+/// The artifacts of the simulation.
 pub fn artifacts() -> Vec<ArtifactId> {
     [
         "one@v1", "two@v1", "three@v1", "four@v1", "four@v2", "one:a@v1", "two:b@v1",
@@ -34,16 +34,16 @@
     })
 }
 
-/// What changes in the configuration.
+/// The variable parts of the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rules {
-    /// The second version of the model `four` serves.
-    pub second_serves: bool,
-    /// The second version of the model `three` serves.
-    pub second_of_three_serves: bool,
-    /// Copies of the model `two`, at most.
+    /// Whether `four@v2` serves instead of `four@v1`.
+    pub four_v2_serves: bool,
+    /// Whether `three@v2` serves instead of `three@v1`.
+    pub three_v2_serves: bool,
+    /// Maximum number of copies of the model `two`.
     pub copies_of_two: u32,
-    /// Loads from the weight store at one time.
+    /// Maximum number of concurrent loads from the weight store.
     pub parallel_loads: u32,
     /// Whether the model `one` is configured.
     pub has_one: bool,
@@ -52,8 +52,8 @@
 impl Default for Rules {
     fn default() -> Self {
         Self {
-            second_serves: false,
-            second_of_three_serves: false,
+            four_v2_serves: false,
+            three_v2_serves: false,
             copies_of_two: 2,
             parallel_loads: 4,
             has_one: true,
@@ -61,7 +61,7 @@
     }
 }
 
-/// All models.
+/// The configuration of all models, adapters and the policy.
 pub fn configuration(revision: u64, rules: Rules) -> Configuration {
     let version = |gigabytes| {
         ConfigurationItem::Version(VersionSpec {
@@ -77,12 +77,8 @@
             at_most,
         })
     };
-    let serving = if rules.second_serves { "v2" } else { "v1" };
-    let serving_of_three = if rules.second_of_three_serves {
-        "v2"
-    } else {
-        "v1"
-    };
+    let serving = if rules.four_v2_serves { "v2" } else { "v1" };
+    let serving_of_three = if rules.three_v2_serves { "v2" } else { "v1" };
     let policy = PolicySpec {
         weight_store_parallel: rules.parallel_loads,
         weight_store_per_second: 20.0,
--- a/crates/control/tests/coordinator/support/schedule.rs
+++ b/crates/control/tests/coordinator/support/schedule.rs
@@ -3,48 +3,48 @@
 use proptest::collection::vec;
 use proptest::prelude::*;
 
-/// Something that happens to the world. Numbers choose among what there is, modulo its count.
+/// A fault or a demand. Numbers are indices into the existing items, modulo their count.
 #[derive(Clone, Debug)]
 pub enum Fault {
-    /// A gateway wants an artifact for a while.
+    /// A gateway demands an artifact for some time.
     Demand {
         gateway: u8,
         artifact: u8,
         millis: u64,
     },
-    /// The store is down for all.
+    /// The store is unavailable to all daemons.
     StoreDown { millis: u64 },
     /// One daemon cannot reach the store.
     CutFromStore { daemon: u8, millis: u64 },
-    /// One daemon does not run.
+    /// One daemon is stalled.
     Pause { daemon: u8, millis: u64 },
-    /// One daemon dies and starts again with nothing.
+    /// One daemon crashes and restarts without state.
     Kill { daemon: u8 },
-    /// One daemon is stopped as planned and starts again with nothing.
+    /// One daemon is stopped gracefully and restarts without state.
     Stop { daemon: u8 },
-    /// Messages are lost or late, at this rate in percent.
+    /// Messages are lost or delayed, at this rate in percent.
     Lossy { percent: u8, millis: u64 },
-    /// Nobody reaches a runner.
+    /// A runner is unreachable.
     CutRunner { runner: u8, millis: u64 },
-    /// The engine dies and starts again.
+    /// The engine crashes and restarts.
     Reboot { runner: u8 },
-    /// The machine is taken away; another one comes.
+    /// The machine is reclaimed without notice and replaced by another one.
     Reclaim { runner: u8 },
-    /// The machine says that it is leaving, and is taken away later.
+    /// The machine announces that it is leaving, and is reclaimed later.
     Leave { runner: u8, millis: u64 },
     /// The next loads on a runner fail.
     FailLoads { runner: u8, count: u8 },
-    /// Both daemons of a zone believe that they come first.
-    BothFirst { zone: u8, millis: u64 },
-    /// The rules change: which version of `four` serves, and the copies of `two`.
+    /// Both daemons of a zone consider themselves rank 0.
+    BothRankZero { zone: u8, millis: u64 },
+    /// The configuration changes: the serving version of `four`, and the copies of `two`.
     Rules { second: bool, copies: u8 },
 }
 
-/// A schedule: what happens when, in milliseconds.
+/// Faults with their start times in milliseconds.
 pub type Schedule = Vec<(u64, Fault)>;
 
-/// Time during which faults begin.
-pub const FAULTY_MILLIS: u64 = 40_000;
+/// Period during which faults start.
+pub const FAULT_PHASE_MILLIS: u64 = 40_000;
 
 fn fault() -> impl Strategy<Value = Fault> {
     let millis = 200..12_000u64;
@@ -66,13 +66,13 @@
         1 => any8().prop_map(|runner| Fault::Reclaim { runner }),
         1 => (any8(), millis.clone()).prop_map(|(runner, millis)| Fault::Leave { runner, millis }),
         1 => (any8(), 1..3u8).prop_map(|(runner, count)| Fault::FailLoads { runner, count }),
-        1 => (any8(), millis).prop_map(|(zone, millis)| Fault::BothFirst { zone, millis }),
+        1 => (any8(), millis).prop_map(|(zone, millis)| Fault::BothRankZero { zone, millis }),
         1 => (any::<bool>(), 1..=2u8)
             .prop_map(|(second, copies)| Fault::Rules { second, copies }),
     ]
 }
 
-/// Random schedules.
+/// Strategy for random schedules.
 pub fn schedules() -> impl Strategy<Value = Schedule> {
-    vec((0..FAULTY_MILLIS, fault()), 10..60)
+    vec((0..FAULT_PHASE_MILLIS, fault()), 10..60)
 }
--- a/crates/control/tests/coordinator/support/world.rs
+++ b/crates/control/tests/coordinator/support/simulation.rs
@@ -1,4 +1,4 @@
-//! The world: daemons, engines, store, gateways, and the messages between them.
+//! The simulation: daemons, engines, store, gateways, and the messages between them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -18,49 +18,49 @@
 use super::schedule::{Fault, Schedule};
 use super::store::Store;
 
-/// One unit of memory.
+/// Unit of memory sizes.
 pub const GIGABYTE: u64 = 1_000_000_000;
 const MEMORY: u64 = 10 * GIGABYTE;
 const TICK: u64 = 100;
 const RUNNERS_PER_ZONE: usize = 3;
 
-/// What happens at some time.
-pub(super) enum Happening {
+/// An event of the simulation, scheduled for a point in virtual time.
+pub(super) enum SimulationEvent {
     Tick(DaemonName),
-    Tell(DaemonName, u64, Box<CoordinatorEvent>),
-    AtStore(DaemonName, u64, Box<CoordinatorAction>, Reply),
-    AtRunner(DaemonName, u64, RunnerName, Option<Box<Order>>, Reply),
+    Deliver(DaemonName, u64, Box<CoordinatorEvent>),
+    StoreRequest(DaemonName, u64, Box<CoordinatorAction>, Reply),
+    RunnerRequest(DaemonName, u64, RunnerName, Option<Box<Order>>, Reply),
     Loaded(RunnerName, BootId, ArtifactId),
     Unloaded(RunnerName, BootId, ArtifactId),
-    Renew(DaemonName, ArtifactId),
-    Answer(DaemonName, Box<RouteAnswer>),
+    RenewDemand(DaemonName, ArtifactId),
+    DeliverAnswer(DaemonName, Box<RouteAnswer>),
     Start(DaemonName),
-    MachineGone(RunnerName),
-    Unlisted(RunnerName),
+    RemoveMachine(RunnerName),
+    UnlistMachine(RunnerName),
     Fault(Fault),
-    RankZero(ZoneName),
-    Lists,
+    RestoreRanks(ZoneName),
+    RefreshLists,
 }
 
-/// Whether the answer to an operation gets back.
+/// Whether the answer to an operation reaches its sender.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Reply {
-    Kept,
+    Delivered,
     Lost,
 }
 
 pub(super) struct Daemon {
     pub(super) zone: ZoneName,
     pub(super) coordinator: Option<Coordinator>,
-    /// Start of the daemon; what was sent to an earlier start is lost.
-    pub(super) start: u64,
+    /// Incarnation of the daemon; messages to an earlier incarnation are lost.
+    pub(super) incarnation: u64,
     pub(super) paused_until: u64,
-    pub(super) cut_until: u64,
+    pub(super) store_unreachable_until: u64,
     pub(super) watching: bool,
 }
 
-/// What a gateway wants of one artifact.
-pub struct Want {
+/// A gateway's demand for one artifact, and the answers to it.
+pub struct DemandState {
     pub(super) until: u64,
     pub(super) zone: ZoneName,
     pub(super) tried: BTreeSet<ZoneName>,
@@ -69,37 +69,38 @@
     pub ready: Vec<RunnerName>,
 }
 
-/// The world.
-pub struct World {
+/// The state of the simulation.
+pub struct Simulation {
     pub now: u64,
-    pub(super) queue: BTreeMap<(u64, u64), Happening>,
-    pub(super) count: u64,
+    pub(super) queue: BTreeMap<(u64, u64), SimulationEvent>,
+    pub(super) scheduled_count: u64,
     pub(super) generator: ChaCha8Rng,
     pub(super) weakness: Weakness,
     pub settings: CoordinatorSettings,
     pub(super) zones: Vec<ZoneName>,
     pub store: Store,
     pub(super) store_down_until: u64,
-    /// Until when nothing that is sent to the store arrives.
+    /// Time until which nothing that is sent to the store arrives.
     pub store_silent_until: u64,
-    pub(super) lossy: (u64, u32),
+    pub(super) message_loss: (u64, u32),
     pub(super) daemons: BTreeMap<DaemonName, Daemon>,
     pub engines: BTreeMap<RunnerName, Engine>,
     pub(super) machines: BTreeMap<RunnerName, Machine>,
-    pub(super) cut_runners: BTreeMap<RunnerName, u64>,
+    pub(super) unreachable_runners: BTreeMap<RunnerName, u64>,
     pub(super) runner_count: usize,
-    pub gateways: BTreeMap<DaemonName, (ZoneName, BTreeMap<ArtifactId, Want>)>,
+    pub gateways: BTreeMap<DaemonName, (ZoneName, BTreeMap<ArtifactId, DemandState>)>,
     pub configuration: Configuration,
     pub rules: Rules,
-    pub(super) former: Vec<(Configuration, u64)>,
-    /// Whether an order refused for want of sense, such as a load of what is held, is a violation.
-    pub refusals_count: bool,
-    /// Whether observers read the runners and report late.
+    pub(super) previous_configurations: Vec<(Configuration, u64)>,
+    /// Whether a refused order, such as a load of an artifact that is already loaded, is a
+    /// violation.
+    pub refusals_are_violations: bool,
+    /// Whether observers read the inventories of runners and report them, some with a delay.
     pub has_observers: bool,
     pub violation: Option<String>,
 }
 
-/// Settings with short times, so that much happens in little virtual time.
+/// Settings with short intervals, to cover many transitions in little virtual time.
 pub fn settings() -> CoordinatorSettings {
     CoordinatorSettings {
         lease_duration: Duration::from_secs(3),
@@ -116,17 +117,17 @@
     }
 }
 
-impl World {
+impl Simulation {
     pub fn new(seed: u64, weakness: Weakness) -> Self {
         let zones: Vec<ZoneName> = ["alpha", "beta", "gamma"].map(ZoneName::literal).to_vec();
         let rules = Rules {
             parallel_loads: 1 + u32::try_from(seed % 4).unwrap_or(0),
             ..Rules::default()
         };
-        let mut world = Self {
+        let mut simulation = Self {
             now: 0,
             queue: BTreeMap::new(),
-            count: 0,
+            scheduled_count: 0,
             generator: ChaCha8Rng::seed_from_u64(seed),
             weakness,
             settings: settings(),
@@ -134,63 +135,66 @@
             store: Store::default(),
             store_down_until: 0,
             store_silent_until: 0,
-            lossy: (0, 0),
+            message_loss: (0, 0),
             daemons: BTreeMap::new(),
             engines: BTreeMap::new(),
             machines: BTreeMap::new(),
-            cut_runners: BTreeMap::new(),
+            unreachable_runners: BTreeMap::new(),
             runner_count: 0,
             gateways: BTreeMap::new(),
             configuration: configuration(1, rules),
             rules,
-            former: Vec::new(),
-            refusals_count: weakness == Weakness::None,
+            previous_configurations: Vec::new(),
+            refusals_are_violations: weakness == Weakness::None,
             has_observers: true,
             violation: None,
         };
         for zone in zones {
             for _ in 0..RUNNERS_PER_ZONE {
-                world.add_runner(&zone);
+                simulation.add_runner(&zone);
             }
             for number in 0..2 {
                 let name = DaemonName::literal(&format!("{zone}-daemon-{number}"));
                 let daemon = Daemon {
                     zone: zone.clone(),
                     coordinator: None,
-                    start: 0,
+                    incarnation: 0,
                     paused_until: 0,
-                    cut_until: 0,
+                    store_unreachable_until: 0,
                     watching: false,
                 };
-                world.daemons.insert(name.clone(), daemon);
-                world.at(0, Happening::Start(name));
+                simulation.daemons.insert(name.clone(), daemon);
+                simulation.schedule(0, SimulationEvent::Start(name));
             }
             let gateway = DaemonName::literal(&format!("{zone}-gateway"));
-            world.gateways.insert(gateway, (zone, BTreeMap::new()));
+            simulation.gateways.insert(gateway, (zone, BTreeMap::new()));
         }
-        world.at(0, Happening::Lists);
-        world
+        simulation.schedule(0, SimulationEvent::RefreshLists);
+        simulation
     }
 
-    pub(super) fn at(&mut self, time: u64, happening: Happening) {
-        self.count += 1;
+    pub(super) fn schedule(&mut self, time: u64, event: SimulationEvent) {
+        self.scheduled_count += 1;
         self.queue
-            .insert((time.max(self.now), self.count), happening);
+            .insert((time.max(self.now), self.scheduled_count), event);
     }
 
-    pub(super) fn tell_at(
+    pub(super) fn deliver_at(
         &mut self,
         time: u64,
         name: DaemonName,
-        start: u64,
+        incarnation: u64,
         event: CoordinatorEvent,
     ) {
-        self.at(time, Happening::Tell(name, start, Box::new(event)));
+        self.schedule(
+            time,
+            SimulationEvent::Deliver(name, incarnation, Box::new(event)),
+        );
     }
 
-    pub fn plan(&mut self, schedule: &Schedule) {
+    pub fn schedule_faults(&mut self, schedule: &Schedule) {
         for (time, fault) in schedule {
-            self.at(*time, Happening::Fault(fault.clone()));
+            self.schedule(*time, SimulationEvent::Fault(fault.clone()));
         }
     }
 
@@ -198,8 +202,8 @@
         self.generator.random_range(1..20)
     }
 
-    pub(super) fn is_lossy(&mut self) -> bool {
-        let (until, percent) = self.lossy;
+    pub(super) fn draw_loss(&mut self) -> bool {
+        let (until, percent) = self.message_loss;
         self.now < until && self.generator.random_range(0..100) < percent
     }
 
@@ -218,7 +222,7 @@
         self.machines.insert(name, machine);
     }
 
-    /// Lets the world run until a time, or until an invariant breaks.
+    /// Runs the simulation until a point in time, or until an invariant is violated.
     pub fn run_until(&mut self, end: u64) {
         while self.violation.is_none() {
             let Some(entry) = self.queue.first_entry() else {
@@ -227,43 +231,47 @@
             if entry.key().0 > end {
                 break;
             }
-            let ((time, _), happening) = entry.remove_entry();
+            let ((time, _), event) = entry.remove_entry();
             self.now = time;
-            self.happen(happening);
+            self.process(event);
         }
         self.now = self.now.max(end);
     }
 
-    pub(super) fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Tick(name) => {
-                self.at(self.now + TICK, Happening::Tick(name.clone()));
-                let start = self.daemons[&name].start;
-                self.tell(&name, start, CoordinatorEvent::Tick);
+    pub(super) fn process(&mut self, event: SimulationEvent) {
+        match event {
+            SimulationEvent::Tick(name) => {
+                self.schedule(self.now + TICK, SimulationEvent::Tick(name.clone()));
+                let incarnation = self.daemons[&name].incarnation;
+                self.deliver(&name, incarnation, CoordinatorEvent::Tick);
             }
-            Happening::Tell(name, start, event) => self.tell(&name, start, *event),
-            Happening::AtStore(name, start, action, reply) => {
-                self.at_store(&name, start, &action, reply);
+            SimulationEvent::Deliver(name, incarnation, event) => {
+                self.deliver(&name, incarnation, *event)
             }
-            Happening::AtRunner(name, start, runner, order, reply) => {
-                self.at_runner(&name, start, &runner, order.as_deref(), reply);
+            SimulationEvent::StoreRequest(name, incarnation, action, reply) => {
+                self.execute_at_store(&name, incarnation, &action, reply);
             }
-            Happening::Loaded(runner, boot, artifact) => {
+            SimulationEvent::RunnerRequest(name, incarnation, runner, order, reply) => {
+                self.execute_at_runner(&name, incarnation, &runner, order.as_deref(), reply);
+            }
+            SimulationEvent::Loaded(runner, boot, artifact) => {
                 self.on_engine(&runner, boot, |engine| engine.finish_load(&artifact));
             }
-            Happening::Unloaded(runner, boot, artifact) => {
+            SimulationEvent::Unloaded(runner, boot, artifact) => {
                 self.on_engine(&runner, boot, |engine| engine.finish_unload(&artifact));
             }
-            Happening::Renew(gateway, artifact) => self.renew(&gateway, &artifact),
-            Happening::Answer(gateway, answer) => self.take_answer(&gateway, *answer),
-            Happening::Start(name) => self.start(&name),
-            Happening::MachineGone(runner) => self.take_machine(&runner),
-            Happening::Unlisted(runner) => {
+            SimulationEvent::RenewDemand(gateway, artifact) => {
+                self.renew_demand(&gateway, &artifact)
+            }
+            SimulationEvent::DeliverAnswer(gateway, answer) => self.apply_answer(&gateway, *answer),
+            SimulationEvent::Start(name) => self.start_daemon(&name),
+            SimulationEvent::RemoveMachine(runner) => self.remove_machine(&runner),
+            SimulationEvent::UnlistMachine(runner) => {
                 self.machines.remove(&runner);
             }
-            Happening::Fault(fault) => self.inject(fault),
-            Happening::RankZero(zone) => self.tell_ranks(&zone, false),
-            Happening::Lists => self.send_lists(),
+            SimulationEvent::Fault(fault) => self.inject(fault),
+            SimulationEvent::RestoreRanks(zone) => self.send_ranks(&zone, false),
+            SimulationEvent::RefreshLists => self.refresh_lists(),
         }
     }
 
@@ -271,22 +279,22 @@
         &mut self,
         runner: &RunnerName,
         boot: BootId,
-        act: impl FnOnce(&mut Engine),
+        apply: impl FnOnce(&mut Engine),
     ) {
         if let Some(engine) = self.engines.get_mut(runner)
             && engine.boot == boot
-            && engine.alive
+            && engine.is_running
         {
-            act(engine);
+            apply(engine);
         }
     }
 
-    pub(super) fn start(&mut self, name: &DaemonName) {
+    pub(super) fn start_daemon(&mut self, name: &DaemonName) {
         let seed = self.generator.random();
         let (zones, weakness) = (self.zones.clone(), self.weakness);
         let daemon = self.daemons.get_mut(name).expect("a known daemon");
-        let first = daemon.start == 0;
-        daemon.start += 1;
+        let is_first_start = daemon.incarnation == 0;
+        daemon.incarnation += 1;
         daemon.watching = false;
         daemon.coordinator = Some(Coordinator::with_weakness(
             self.settings.clone(),
@@ -297,74 +305,74 @@
             weakness,
         ));
         let zone = daemon.zone.clone();
-        if first {
-            self.at(self.now, Happening::Tick(name.clone()));
+        if is_first_start {
+            self.schedule(self.now, SimulationEvent::Tick(name.clone()));
         }
-        self.tell_ranks(&zone, false);
+        self.send_ranks(&zone, false);
         self.send_machines(name);
     }
 
-    pub(super) fn tell_ranks(&mut self, zone: &ZoneName, both_first: bool) {
+    pub(super) fn send_ranks(&mut self, zone: &ZoneName, both_rank_zero: bool) {
         let live = self.daemons.iter().filter(|(_, daemon)| {
             daemon.zone == *zone && daemon.coordinator.is_some() && daemon.paused_until <= self.now
         });
         let names: Vec<(DaemonName, u64)> = live
-            .map(|(name, daemon)| (name.clone(), daemon.start))
+            .map(|(name, daemon)| (name.clone(), daemon.incarnation))
             .collect();
-        for (rank, (name, start)) in names.into_iter().enumerate() {
-            let rank = if both_first { 0 } else { rank };
+        for (rank, (name, incarnation)) in names.into_iter().enumerate() {
+            let rank = if both_rank_zero { 0 } else { rank };
             let event = CoordinatorEvent::Rank(rank);
-            self.tell_at(self.now, name, start, event);
+            self.deliver_at(self.now, name, incarnation, event);
         }
     }
 
     pub(super) fn send_machines(&mut self, name: &DaemonName) {
         let daemon = &self.daemons[name];
-        let (zone, start) = (daemon.zone.clone(), daemon.start);
+        let (zone, incarnation) = (daemon.zone.clone(), daemon.incarnation);
         let machines = self
             .machines
             .values()
             .filter(|machine| machine.zone == zone);
         let event = CoordinatorEvent::Machines(machines.cloned().collect());
         let time = self.now + self.latency();
-        self.tell_at(time, name.clone(), start, event);
+        self.deliver_at(time, name.clone(), incarnation, event);
     }
 
-    pub(super) fn send_lists(&mut self) {
-        self.at(self.now + 1_000, Happening::Lists);
+    pub(super) fn refresh_lists(&mut self) {
+        self.schedule(self.now + 1_000, SimulationEvent::RefreshLists);
         self.send_observations();
         let names: Vec<DaemonName> = self.daemons.keys().cloned().collect();
         for name in names {
             self.send_machines(&name);
-            // The watch of a daemon that was cut off misses nothing for long.
+            // A daemon that was cut off from the store catches up on missed changes soon.
             let daemon = &self.daemons[&name];
-            let is_cut = daemon.cut_until > self.now;
+            let is_cut = daemon.store_unreachable_until > self.now;
             let is_out = self.store_down_until.max(self.store_silent_until) > self.now;
             if daemon.watching && !is_cut && !is_out {
-                let start = daemon.start;
+                let incarnation = daemon.incarnation;
                 let quotas: Vec<_> = self.store.quotas().cloned().collect();
                 for (revision, quota) in quotas {
                     let event = CoordinatorEvent::QuotaChanged(revision, quota);
-                    self.tell_at(self.now + 5, name.clone(), start, event);
+                    self.deliver_at(self.now + 5, name.clone(), incarnation, event);
                 }
             }
         }
         for zone in self.zones.clone() {
-            self.tell_ranks(&zone, false);
+            self.send_ranks(&zone, false);
         }
     }
 
-    /// Tells a daemon something, once it runs.
-    pub(super) fn tell(&mut self, name: &DaemonName, start: u64, event: CoordinatorEvent) {
+    /// Delivers an event to a daemon, once it is no longer paused.
+    pub(super) fn deliver(&mut self, name: &DaemonName, incarnation: u64, event: CoordinatorEvent) {
         let origin = 1_000_000 * (1 + name.as_str().len() as u64);
         let daemon = self.daemons.get_mut(name).expect("a known daemon");
-        if daemon.start != start {
+        if daemon.incarnation != incarnation {
             return;
         }
         if daemon.paused_until > self.now {
             let resumed = daemon.paused_until;
             if event != CoordinatorEvent::Tick {
-                self.tell_at(resumed, name.clone(), start, event);
+                self.deliver_at(resumed, name.clone(), incarnation, event);
             }
             return;
         }
@@ -374,10 +382,10 @@
         let now = Timestamp(origin + self.now);
         let actions = coordinator.handle(event, now, &self.configuration);
         if let Err(index) = coordinator.check_indexes() {
-            self.broken(format!("{name}: the index of {index} is not up to date"));
+            self.record_violation(format!("{name}: the index of {index} is not up to date"));
         }
         for action in actions {
-            self.carry_out(name, start, action);
+            self.execute(name, incarnation, action);
         }
     }
 }
--- a/crates/control/tests/coordinator/support/store.rs
+++ b/crates/control/tests/coordinator/support/store.rs
@@ -1,4 +1,4 @@
-//! The object API as far as coordinators use it: compare-and-swap on three kinds of records.
+//! The part of the object API that coordinators use: compare-and-swap on three kinds of records.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 use flaxward_types::records::{Quota, QuotaSubject, ZoneLease, ZonePlacement};
 use flaxward_types::{Revision, ZoneName};
 
-/// All records with their versions.
+/// All records with their revisions.
 #[derive(Default)]
 pub struct Store {
     revision: u64,
@@ -31,8 +31,8 @@
 }
 
 impl Store {
-    /// Carries out an operation for a daemon of a zone.
-    pub fn carry_out(&mut self, zone: &ZoneName, action: &CoordinatorAction) -> CoordinatorEvent {
+    /// Executes an operation for a daemon of a zone.
+    pub fn execute(&mut self, zone: &ZoneName, action: &CoordinatorAction) -> CoordinatorEvent {
         let next = &mut self.revision;
         match action.clone() {
             CoordinatorAction::ReadLease => {
@@ -56,12 +56,12 @@
                 let result = swap(&mut self.quotas, next, &subject, expected, quota);
                 CoordinatorEvent::QuotaWritten(subject, result)
             }
-            other => panic!("{other:?} is no operation of the store"),
+            other => panic!("{other:?} is not a store operation"),
         }
     }
 
-    /// The event that tells of an operation that failed; `None` for a single quota, whose read has
-    /// no answer then.
+    /// The event that reports a failed operation; `None` for a read of a single quota, which is
+    /// then not answered.
     pub fn failure(action: &CoordinatorAction, fault: StoreFault) -> Option<CoordinatorEvent> {
         Some(match action {
             CoordinatorAction::ReadLease => CoordinatorEvent::LeaseRead(Err(fault)),
--- a/crates/control/tests/sampling.rs
+++ b/crates/control/tests/sampling.rs
@@ -89,7 +89,7 @@
         let gateway = self.random.random_range(0..GATEWAYS);
         let chosen = self.routers[gateway].choose(&self.samples[gateway], None);
         let runner = chosen.expect("a replica").runner.clone();
-        self.routers[gateway].began(&runner);
+        self.routers[gateway].record_start(&runner);
         *self.loads.get_mut(&runner).unwrap() += 1;
         self.running.push((gateway, runner));
     }
@@ -97,7 +97,7 @@
     fn end(&mut self) {
         let place = self.random.random_range(0..self.running.len());
         let (gateway, runner) = self.running.swap_remove(place);
-        self.routers[gateway].ended(&runner);
+        self.routers[gateway].record_end(&runner);
         *self.loads.get_mut(&runner).unwrap() -= 1;
     }
 
--- a/crates/control/tests/stream.rs
+++ b/crates/control/tests/stream.rs
@@ -1,4 +1,4 @@
-//! Properties of the order and completeness of streamed answers.
+//! Properties of the order and completeness checks on streamed responses.
 
 mod requests_support;
 
@@ -8,36 +8,37 @@
 use proptest::prelude::*;
 use requests_support::{rule, violation};
 
-/// Frames of the whole answer.
+/// Number of frames of the whole response.
 const TOTAL: u64 = 12;
 
-/// One attempt of an engine: where it starts, how many frames it sends before it breaks off, which
-/// frame it skips, and whether a frame of a former attempt comes late between its own.
+/// One attempt of an engine: whether it ignores the resume position, how many frames it sends
+/// before it ends, which frame it skips, and which frame of an earlier attempt arrives late during
+/// it.
 #[derive(Clone, Debug)]
 struct Attempt {
     ignores_resume: bool,
     length: u64,
-    skips: Option<u64>,
+    skipped_index: Option<u64>,
     late_frame: Option<u64>,
     states_total: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Flaw {
+enum Weakness {
     None,
     DeliversDuplicates,
     IgnoresGaps,
     IgnoresAttempts,
-    EndMeansComplete,
+    TreatsEndAsComplete,
 }
 
 fn attempts() -> impl Strategy<Value = Vec<Attempt>> {
     let index = || prop::option::weighted(0.3, 0..TOTAL);
     let attempt = (any::<bool>(), 0..=TOTAL, index(), index(), any::<bool>()).prop_map(
-        |(ignores_resume, length, skips, late_frame, states_total)| Attempt {
+        |(ignores_resume, length, skipped_index, late_frame, states_total)| Attempt {
             ignores_resume,
             length,
-            skips,
+            skipped_index,
             late_frame,
             states_total,
         },
@@ -45,8 +46,8 @@
     vec(attempt, 1..6)
 }
 
-/// Relays an answer as a gateway does and compares what the caller got with the whole answer.
-fn check(attempts: Vec<Attempt>, flaw: Flaw) -> Result<(), String> {
+/// Relays a response like a gateway and compares the received frames with the whole response.
+fn check(attempts: Vec<Attempt>, weakness: Weakness) -> Result<(), String> {
     let mut checker = FrameChecker::new(AttemptId(0));
     let mut received = Vec::new();
     for (number, attempt) in (0_u128..).zip(attempts) {
@@ -58,28 +59,31 @@
             checker.next_index()
         };
         let end = TOTAL.min(start + attempt.length);
-        let own = (start..end).filter(|index| Some(*index) != attempt.skips);
+        let own = (start..end).filter(|index| Some(*index) != attempt.skipped_index);
         let late = attempt
             .late_frame
             .map(|index| (AttemptId(u128::MAX), index));
         let frames = late.into_iter().chain(own.map(|index| (current, index)));
         for (origin, index) in frames {
-            let labelled = if flaw == Flaw::IgnoresAttempts {
+            let attributed_to = if weakness == Weakness::IgnoresAttempts {
                 current
             } else {
                 origin
             };
-            let passed_on = match checker.feed(labelled, index) {
+            let is_delivered = match checker.feed(attributed_to, index) {
                 FrameVerdict::Deliver => true,
-                FrameVerdict::Duplicate => flaw == Flaw::DeliversDuplicates,
-                FrameVerdict::Gap { .. } if flaw == Flaw::IgnoresGaps => true,
+                FrameVerdict::Duplicate => weakness == Weakness::DeliversDuplicates,
+                FrameVerdict::Gap { .. } if weakness == Weakness::IgnoresGaps => true,
                 FrameVerdict::Gap { expected } => {
-                    rule(expected == received.len() as u64, "expects another frame")?;
+                    rule(
+                        expected == received.len() as u64,
+                        "a gap reports the wrong expected index",
+                    )?;
                     break;
                 }
                 FrameVerdict::Stale => false,
             };
-            if passed_on {
+            if is_delivered {
                 rule(
                     origin == current,
                     "a frame of another attempt was delivered",
@@ -92,19 +96,19 @@
             }
         }
         if end == TOTAL {
-            // Only a stated total can show that the very last frame is missing.
-            let states_total = attempt.states_total || attempt.skips == Some(TOTAL - 1);
+            // Only a stated total can reveal that the last frame is missing.
+            let states_total = attempt.states_total || attempt.skipped_index == Some(TOTAL - 1);
             checker.feed_terminator(current, states_total.then_some(TOTAL));
         }
-        let complete = checker.finish(current) == StreamEnd::Complete;
-        let whole = received.len() as u64 == TOTAL;
-        if complete || flaw == Flaw::EndMeansComplete {
-            return rule(whole, "a truncated answer was called complete");
+        let is_complete = checker.finish(current) == StreamEnd::Complete;
+        let is_whole = received.len() as u64 == TOTAL;
+        if is_complete || weakness == Weakness::TreatsEndAsComplete {
+            return rule(is_whole, "a truncated answer was reported complete");
         }
-        let skipped = attempt.skips.is_some();
+        let has_gap = attempt.skipped_index.is_some();
         rule(
-            !(whole && end == TOTAL && !skipped),
-            "a whole answer was called truncated",
+            !(is_whole && end == TOTAL && !has_gap),
+            "a whole answer was reported truncated",
         )?;
     }
     Ok(())
@@ -112,20 +116,23 @@
 
 #[test]
 fn frames_are_delivered_once_in_order_and_to_the_end() {
-    assert_eq!(violation(&attempts(), |case| check(case, Flaw::None)), None);
+    assert_eq!(
+        violation(&attempts(), |case| check(case, Weakness::None)),
+        None
+    );
 }
 
 #[test]
-fn broken_variants_of_streams_are_found() {
-    use Flaw::{DeliversDuplicates, EndMeansComplete, IgnoresAttempts, IgnoresGaps};
-    for flaw in [
+fn weakened_stream_checks_are_detected() {
+    use Weakness::{DeliversDuplicates, IgnoresAttempts, IgnoresGaps, TreatsEndAsComplete};
+    for weakness in [
         DeliversDuplicates,
         IgnoresGaps,
         IgnoresAttempts,
-        EndMeansComplete,
+        TreatsEndAsComplete,
     ] {
-        let found = violation(&attempts(), |case| check(case, flaw));
-        assert!(found.is_some(), "{flaw:?} was not found");
+        let detected = violation(&attempts(), |case| check(case, weakness));
+        assert!(detected.is_some(), "{weakness:?} was not detected");
     }
 }
 
--- a/crates/gateway/src/service_pool.rs
+++ b/crates/gateway/src/service_pool.rs
@@ -153,7 +153,7 @@
                     .filter(|replica| !avoid || !is_avoided(&replica.runner))
                     .collect();
                 if let Some(replica) = router.choose(free, None) {
-                    router.began(&replica.runner);
+                    router.record_start(&replica.runner);
                     return Some(BackEnd {
                         runner: replica.runner.clone(),
                         address: replica.address.clone(),
@@ -191,7 +191,7 @@
             };
             let runner = back_end.runner.clone();
             if waiter.sender.send(back_end).is_err() {
-                self.router.ended(&runner);
+                self.router.record_end(&runner);
             }
         }
     }
@@ -275,7 +275,7 @@
 
     fn release(&self, runner: &RunnerName) {
         let mut state = self.pool.lock();
-        state.router.ended(runner);
+        state.router.record_end(runner);
         state.serve_waiters(&self.service, self.pool.clock.now());
     }
 }
--- a/crates/simulation/src/gateway/service_pool.rs
+++ b/crates/simulation/src/gateway/service_pool.rs
@@ -85,7 +85,7 @@
         if let Some(ticket) = self.tickets.get_mut(&request)
             && let Some(runner) = ticket.at.take()
         {
-            self.router.ended(&runner);
+            self.router.record_end(&runner);
             ticket.avoided.insert(runner);
         }
         self.decide(request)
@@ -97,7 +97,7 @@
             at: Some(runner), ..
         }) = self.tickets.remove(&request)
         {
-            self.router.ended(&runner);
+            self.router.record_end(&runner);
         }
     }
 
@@ -155,7 +155,7 @@
                     .collect();
                 if let Some(replica) = self.router.choose(&free, None) {
                     let runner = replica.runner.clone();
-                    self.router.began(&runner);
+                    self.router.record_start(&runner);
                     self.tickets.get_mut(&request)?.at = Some(runner.clone());
                     return Some(runner);
                 }
