--- a/crates/control/tests/sampling.rs
+++ b/crates/control/tests/sampling.rs
@@ -91,7 +91,7 @@
         let gateway = self.random.random_range(0..GATEWAYS);
         let chosen = self.routers[gateway].choose(&self.samples[gateway], None);
         let runner = chosen.expect("a replica").runner.clone();
-        self.routers[gateway].began(&runner);
+        self.routers[gateway].record_start(&runner);
         *self.loads.get_mut(&runner).unwrap() += 1;
         self.running.push((gateway, runner));
     }
@@ -99,7 +99,7 @@
     fn end_request(&mut self) {
         let index = self.random.random_range(0..self.running.len());
         let (gateway, runner) = self.running.swap_remove(index);
-        self.routers[gateway].ended(&runner);
+        self.routers[gateway].record_end(&runner);
         *self.loads.get_mut(&runner).unwrap() -= 1;
     }
 
