--- a/crates/control/src/configuration/apply.rs
+++ b/crates/control/src/configuration/apply.rs
@@ -1,4 +1,4 @@
-//! Applying changes: the revision in force only ever rises.
+//! Applies changes; the revision in force never decreases.
 
 use std::collections::BTreeSet;
 
@@ -7,39 +7,39 @@
 
 use super::Configuration;
 
-/// What became of a delta.
+/// The outcome of applying a delta.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Applied {
-    /// It is in force.
+pub enum ApplyOutcome {
+    /// The delta is in force.
     Applied,
-    /// Changes before it are missing here; nothing was done.
+    /// Earlier changes are missing; the delta was not applied.
     Behind,
-    /// All of it is in force already; nothing was done.
+    /// All changes are in force already; nothing was applied.
     Old,
-    /// It contradicts itself; nothing was done.
+    /// The delta is inconsistent; nothing was applied.
     Malformed,
 }
 
 impl Configuration {
-    /// What [`Self::apply_delta`] would make of a delta.
-    pub fn check_delta(&self, delta: &ConfigurationDelta) -> Applied {
+    /// The outcome that [`Self::apply_delta`] would have.
+    pub fn check_delta(&self, delta: &ConfigurationDelta) -> ApplyOutcome {
         if !is_well_formed(delta) {
-            return Applied::Malformed;
+            return ApplyOutcome::Malformed;
         }
         if delta.to <= self.revision {
-            return Applied::Old;
+            return ApplyOutcome::Old;
         }
         if delta.from > self.revision {
-            return Applied::Behind;
+            return ApplyOutcome::Behind;
         }
-        Applied::Applied
+        ApplyOutcome::Applied
     }
 
-    /// Puts the changes of a delta in force that are not in force yet.
-    pub fn apply_delta(&mut self, delta: &ConfigurationDelta) -> Applied {
-        let verdict = self.check_delta(delta);
-        if verdict != Applied::Applied {
-            return verdict;
+    /// Applies the changes of a delta that are not in force yet.
+    pub fn apply_delta(&mut self, delta: &ConfigurationDelta) -> ApplyOutcome {
+        let outcome = self.check_delta(delta);
+        if outcome != ApplyOutcome::Applied {
+            return outcome;
         }
         let mut changes: Vec<_> = delta
             .changes
@@ -51,10 +51,10 @@
             self.apply_change(change);
         }
         self.revision = delta.to;
-        Applied::Applied
+        ApplyOutcome::Applied
     }
 
-    /// Replaces everything by a snapshot if it is newer. Returns whether it was.
+    /// Replaces the configuration by a snapshot if the snapshot is newer. Returns whether it was.
     pub fn apply_snapshot(&mut self, snapshot: &ConfigurationSnapshot) -> bool {
         if snapshot.revision <= self.revision {
             return false;
@@ -63,8 +63,8 @@
         true
     }
 
-    /// The changes that lead from here to a snapshot. When an item was removed is not known, only
-    /// that it was by the snapshot's revision.
+    /// The changes that lead from this configuration to a snapshot. Removals get the snapshot's
+    /// revision, since their own is not known.
     pub fn changes_to(&self, snapshot: &ConfigurationSnapshot) -> Vec<ConfigurationChange> {
         let kept: BTreeSet<&ItemKey> = snapshot.items.iter().map(|(key, _, _)| key).collect();
         let removed = self
@@ -116,7 +116,7 @@
     }
 }
 
-/// Whether all changes lie in the range that the delta names.
+/// Whether all changes lie within the delta's range of revisions.
 fn is_well_formed(delta: &ConfigurationDelta) -> bool {
     let within = |revision: Revision| revision > delta.from && revision <= delta.to;
     delta.from < delta.to && delta.changes.iter().all(|change| within(change.revision))
--- a/crates/control/src/configuration/log.rs
+++ b/crates/control/src/configuration/log.rs
@@ -1,4 +1,4 @@
-//! The last changes of configuration, kept for daemons that are a little behind.
+//! Log of recent configuration changes, for daemons that lag slightly behind.
 
 use std::collections::VecDeque;
 
@@ -10,16 +10,16 @@
 pub struct ChangeLog {
     changes: VecDeque<ConfigurationChange>,
     limit: usize,
-    /// Everything that changed after this revision is kept.
+    /// The log is complete after this revision.
     floor: Revision,
     last: Revision,
-    /// Ranges of revisions known only from their two ends: between them, something may have come
-    /// and gone that is not kept.
+    /// Ranges of revisions known only from their two ends: items may have been created and removed
+    /// in between without being logged.
     gaps: VecDeque<(Revision, Revision)>,
 }
 
 impl ChangeLog {
-    /// An empty log that keeps so many changes.
+    /// An empty log that keeps up to `limit` changes.
     pub fn new(limit: usize) -> Self {
         Self {
             changes: VecDeque::new(),
@@ -30,8 +30,8 @@
         }
     }
 
-    /// Forgets everything: nothing is known of what led to this revision.
-    pub fn restart(&mut self, revision: Revision) {
+    /// Clears the log: the changes that led to this revision are not known.
+    pub fn reset(&mut self, revision: Revision) {
         *self = Self {
             floor: revision,
             last: revision,
@@ -59,12 +59,12 @@
         self.gaps.retain(|(_, to)| *to > floor);
     }
 
-    /// Notes that what happened between two revisions is known only from its outcome.
-    pub fn note_gap(&mut self, from: Revision, to: Revision) {
+    /// Records that only the outcome of the changes between two revisions is known.
+    pub fn record_gap(&mut self, from: Revision, to: Revision) {
         self.gaps.push_back((from, to));
     }
 
-    /// All changes after a revision, if they are known.
+    /// All changes after a revision, if the log is complete from there.
     pub fn since(&self, have: Revision) -> Option<ConfigurationDelta> {
         let in_gap = self
             .gaps
--- a/crates/control/src/configuration/mod.rs
+++ b/crates/control/src/configuration/mod.rs
@@ -1,11 +1,13 @@
-//! The configuration in force at one daemon, and how it spreads.
+//! The configuration in force at one daemon, and its dissemination.
 
 mod apply;
-mod keeper;
 mod log;
+mod replicator;
 
-pub use apply::Applied;
-pub use keeper::{ConfigurationKeeper, FAST_QUESTIONS, KeeperAction, KeeperSettings};
+pub use apply::ApplyOutcome;
+pub use replicator::{
+    ConfigurationReplicator, FAST_REQUESTS, ReplicatorAction, ReplicatorSettings,
+};
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,7 +17,7 @@
     ServiceName,
 };
 
-/// All items in force, and the revision up to which nothing is missing.
+/// All items in force, and the revision up to which they are complete.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Configuration {
     revision: Revision,
@@ -106,7 +108,7 @@
             .collect()
     }
 
-    /// What a caller's reference stands for.
+    /// Resolves a caller's reference to an artifact.
     ///
     /// # Errors
     /// [`ResultCode::UnknownModel`] if the model, the version or the adapter does not exist.
@@ -131,7 +133,7 @@
         }
     }
 
-    /// Accelerator memory that an artifact takes when loaded, in bytes: weights and KV cache.
+    /// Accelerator memory that an artifact occupies when loaded, in bytes: weights and KV cache.
     pub fn bytes(&self, artifact: &ArtifactId) -> Option<u64> {
         if artifact.is_adapter() {
             return self.adapter(artifact).map(|spec| spec.weights.as_u64());
--- a/crates/control/src/configuration/keeper.rs
+++ b/crates/control/src/configuration/replicator.rs
@@ -1,8 +1,8 @@
-//! Keeps the configuration in force and decides what to tell whom.
+//! Replicates configuration between daemons.
 //!
-//! A change is sent on once to a few random members by each daemon that applies it. Every envelope
-//! carries its sender's revision; a daemon that sees a higher one, and is not told shortly after,
-//! asks for what it lacks. So what the first way misses, the second repairs.
+//! Each daemon that applies a change pushes it once to a few random members. Every envelope carries
+//! its sender's revision; a daemon that sees a higher one, and does not receive the changes shortly
+//! after, requests them. Pulling thus repairs what pushing misses.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,46 +17,47 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::log::ChangeLog;
-use super::{Applied, Configuration};
+use super::{ApplyOutcome, Configuration};
 
-/// Most daemons of other zones whose revision is remembered.
-const MAX_OUTSIDE: usize = 128;
+/// Maximum number of daemons of other zones whose revision is remembered.
+const MAX_OTHER_ZONE_PEERS: usize = 128;
 
-/// Questions for a few changes in a row without an answer before the pauses grow.
-pub const FAST_QUESTIONS: u32 = 8;
+/// Consecutive unanswered requests for changes before the timeout starts to double.
+pub const FAST_REQUESTS: u32 = 8;
 
-/// Durations and sizes that steer the spread of configuration.
+/// Durations and sizes that configure the dissemination of configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct KeeperSettings {
-    /// Members that a change is sent on to by each daemon that applies it.
+pub struct ReplicatorSettings {
+    /// Members to which each daemon that applies a change pushes it.
     pub fanout: usize,
-    /// Time between two sends; changes that come in between are sent together.
+    /// Time between two pushes; changes in between are pushed together.
     pub push_interval: Duration,
-    /// Changes kept for daemons that are a little behind.
+    /// Changes kept for daemons that lag slightly behind.
     pub recent_changes: usize,
-    /// Time that a daemon waits to be told before it asks a member of its zone.
-    pub patience: Duration,
-    /// Time that a daemon which does not coordinate waits before it asks another zone.
-    pub outside_patience: Duration,
+    /// Time that a daemon waits for a push before it requests changes from a member of its zone.
+    pub request_delay: Duration,
+    /// Time that a daemon which is not the coordinator waits before it requests changes from another
+    /// zone.
+    pub cross_zone_request_delay: Duration,
     /// Time to wait for a few changes before another daemon is asked; doubles after
-    /// [`FAST_QUESTIONS`].
+    /// [`FAST_REQUESTS`].
     pub answer_timeout: Duration,
     /// Time to wait for a whole configuration before another daemon is asked; doubles.
     pub snapshot_timeout: Duration,
-    /// Longest time to wait for an answer.
+    /// Maximum time to wait for an answer.
     pub timeout_limit: Duration,
-    /// Shortest time between two snapshots to the same daemon.
+    /// Minimum time between two snapshots to the same daemon.
     pub snapshot_interval: Duration,
 }
 
-impl Default for KeeperSettings {
+impl Default for ReplicatorSettings {
     fn default() -> Self {
         Self {
             fanout: 3,
             push_interval: Duration::from_millis(200),
             recent_changes: 1_000,
-            patience: Duration::from_millis(400),
-            outside_patience: Duration::from_secs(5),
+            request_delay: Duration::from_millis(400),
+            cross_zone_request_delay: Duration::from_secs(5),
             answer_timeout: Duration::from_millis(500),
             snapshot_timeout: Duration::from_secs(2),
             timeout_limit: Duration::from_secs(16),
@@ -65,12 +66,12 @@
     }
 }
 
-/// What to do.
+/// An output of the replicator.
 #[derive(Clone, Debug, PartialEq)]
-pub enum KeeperAction {
+pub enum ReplicatorAction {
     /// Send a message.
     Send {
-        /// To whom.
+        /// The receiver.
         to: Peer,
         /// The message.
         message: Message,
@@ -79,57 +80,58 @@
     Changed,
 }
 
-/// A daemon with another revision than this one's, as last heard.
+/// The revision last received from another daemon.
 #[derive(Clone, Debug)]
-struct Known {
+struct PeerRevision {
     peer: Peer,
     revision: Revision,
     /// Since when it has been ahead of this daemon.
     ahead_since: Option<Timestamp>,
 }
 
-/// The one question that may be outstanding.
+/// The single outstanding request for changes.
 #[derive(Clone, Debug)]
-struct Question {
+struct OutstandingRequest {
     to: DaemonName,
-    asked: Timestamp,
+    sent_at: Timestamp,
 }
 
-/// The configuration in force and what is known of others'.
+/// The configuration in force and the known revisions of other daemons.
 #[derive(Clone, Debug)]
-pub struct ConfigurationKeeper {
-    settings: KeeperSettings,
+pub struct ConfigurationReplicator {
+    settings: ReplicatorSettings,
     zone: ZoneName,
     current: Arc<Configuration>,
-    /// Up to where the store has shown that nothing else changed; at or after the revision in force.
-    covered: Revision,
+    /// The revision up to which the store is known to have no further changes; at or after the
+    /// revision in force.
+    covered_revision: Revision,
     log: ChangeLog,
-    /// The revision that was last sent on.
-    pushed: Revision,
+    /// The revision that was last pushed.
+    pushed_revision: Revision,
     next_push: Timestamp,
     members: Vec<Peer>,
-    known: BTreeMap<DaemonName, Known>,
-    question: Option<Question>,
-    /// Questions in a row without an answer.
+    known: BTreeMap<DaemonName, PeerRevision>,
+    request: Option<OutstandingRequest>,
+    /// Consecutive requests without an answer.
     unanswered: u32,
     snapshots_sent: BTreeMap<DaemonName, Timestamp>,
     random: ChaCha8Rng,
 }
 
-impl ConfigurationKeeper {
-    /// A keeper without any configuration, for a daemon of a zone.
-    pub fn new(settings: KeeperSettings, zone: ZoneName, seed: u64) -> Self {
+impl ConfigurationReplicator {
+    /// A replicator without any configuration, for a daemon of a zone.
+    pub fn new(settings: ReplicatorSettings, zone: ZoneName, seed: u64) -> Self {
         Self {
             log: ChangeLog::new(settings.recent_changes),
             settings,
             zone,
             current: Arc::default(),
-            covered: Revision(0),
-            pushed: Revision(0),
+            covered_revision: Revision(0),
+            pushed_revision: Revision(0),
             next_push: Timestamp::ZERO,
             members: Vec::new(),
             known: BTreeMap::new(),
-            question: None,
+            request: None,
             unanswered: 0,
             snapshots_sent: BTreeMap::new(),
             random: ChaCha8Rng::seed_from_u64(seed),
@@ -146,12 +148,11 @@
         self.current.revision()
     }
 
-    /// Takes in what a watch of the store has shown: everything that changed after `delta.from` up
-    /// to `delta.to`. A delta without changes only notes how far the watch has come. When the answer
-    /// is [`Applied::Behind`], the store must be listed again.
-    pub fn learn(&mut self, delta: &ConfigurationDelta) -> Applied {
-        if delta.from > self.covered {
-            return Applied::Behind;
+    /// Applies the output of a watch of the store: all changes after `delta.from` up to `delta.to`. A
+    /// delta without changes only records the progress of the watch. When the result is [`ApplyOutcome::Behind`], the store must be listed again.
+    pub fn apply_watch_delta(&mut self, delta: &ConfigurationDelta) -> ApplyOutcome {
+        if delta.from > self.covered_revision {
+            return ApplyOutcome::Behind;
         }
         let revision = self.revision();
         let changes: Vec<ConfigurationChange> = delta
@@ -167,30 +168,33 @@
                 to,
                 changes,
             }),
-            Some(_) => return Applied::Malformed,
-            None => Applied::Old,
+            Some(_) => return ApplyOutcome::Malformed,
+            None => ApplyOutcome::Old,
         };
-        self.covered = self.covered.max(delta.to);
+        self.covered_revision = self.covered_revision.max(delta.to);
         applied
     }
 
-    /// Takes in a whole list of the store. Returns whether anything changed. A list that differs in
-    /// nothing but its revision only notes how far the store has come.
-    pub fn learn_snapshot(&mut self, snapshot: &ConfigurationSnapshot) -> bool {
+    /// Applies a complete listing of the store. Returns whether anything changed. A listing that
+    /// differs only in its revision just records the progress of the store.
+    pub fn apply_listing(&mut self, snapshot: &ConfigurationSnapshot) -> bool {
         let known = self.revision() > Revision(0)
             && snapshot.revision > self.revision()
             && self.current.changes_to(snapshot).is_empty();
         let changed = !known && self.replace(snapshot);
         if known {
-            self.covered = self.covered.max(snapshot.revision);
+            self.covered_revision = self.covered_revision.max(snapshot.revision);
         }
         changed
     }
 
-    /// Notes the revision in force at a sender.
-    pub fn heard(&mut self, from: &Peer, revision: Revision, now: Timestamp) {
-        let outside = from.zone != self.zone;
-        if outside && !self.known.contains_key(&from.name) && self.outside() >= MAX_OUTSIDE {
+    /// Records the revision in force at a sender.
+    pub fn record_peer_revision(&mut self, from: &Peer, revision: Revision, now: Timestamp) {
+        let is_other_zone = from.zone != self.zone;
+        if is_other_zone
+            && !self.known.contains_key(&from.name)
+            && self.other_zone_peers() >= MAX_OTHER_ZONE_PEERS
+        {
             return;
         }
         let ahead_since = (revision > self.revision()).then(|| {
@@ -200,7 +204,7 @@
                 .and_then(|known| known.ahead_since)
                 .unwrap_or(now)
         });
-        let known = Known {
+        let known = PeerRevision {
             peer: from.clone(),
             revision,
             ahead_since,
@@ -209,17 +213,22 @@
     }
 
     /// Handles a message about configuration; others are ignored.
-    pub fn receive(&mut self, from: &Peer, message: &Message, now: Timestamp) -> Vec<KeeperAction> {
+    pub fn receive(
+        &mut self,
+        from: &Peer,
+        message: &Message,
+        now: Timestamp,
+    ) -> Vec<ReplicatorAction> {
         let before = self.revision();
         let mut actions = Vec::new();
         match message {
             Message::Configuration(delta) => {
                 self.apply(delta);
-                self.answered(&from.name);
+                self.clear_request(&from.name);
             }
             Message::Snapshot(snapshot) => {
                 self.replace(snapshot);
-                self.answered(&from.name);
+                self.clear_request(&from.name);
             }
             Message::ConfigurationWanted { have } => {
                 actions.extend(self.answer(from, *have, now));
@@ -227,12 +236,12 @@
             _ => {}
         }
         if self.revision() > before {
-            actions.push(KeeperAction::Changed);
+            actions.push(ReplicatorAction::Changed);
         }
         actions
     }
 
-    /// Notes the other live members of the zone.
+    /// Sets the other live members of the zone.
     pub fn set_members(&mut self, members: &[Peer]) {
         self.members = members.to_vec();
         let zone = &self.zone;
@@ -241,30 +250,30 @@
         });
     }
 
-    /// Sends on what is new and asks for what is missing. `coordinates` says whether this daemon
-    /// speaks for the zone.
-    pub fn tick(&mut self, coordinates: bool, now: Timestamp) -> Vec<KeeperAction> {
+    /// Pushes new changes and requests missing ones. `is_coordinator` says whether this daemon is the
+    /// coordinator of its zone.
+    pub fn tick(&mut self, is_coordinator: bool, now: Timestamp) -> Vec<ReplicatorAction> {
         let interval = self.settings.snapshot_interval;
         self.snapshots_sent
             .retain(|_, sent| now.since(*sent) < interval);
         let mut actions = self.push(now);
-        actions.extend(self.ask(coordinates, now));
+        actions.extend(self.request_missing(is_coordinator, now));
         actions
     }
 
-    fn apply(&mut self, delta: &ConfigurationDelta) -> Applied {
+    fn apply(&mut self, delta: &ConfigurationDelta) -> ApplyOutcome {
         let before = self.revision();
         let applied = self.current.check_delta(delta);
-        if applied == Applied::Applied {
+        if applied == ApplyOutcome::Applied {
             Arc::make_mut(&mut self.current).apply_delta(delta);
             self.log.append(delta, before);
-            self.risen();
+            self.after_revision_advanced();
         }
         applied
     }
 
-    /// Takes over a newer snapshot as the changes that lead to it, so that daemons which are behind
-    /// can still be sent changes.
+    /// Applies a newer snapshot as the changes that lead to it, so that daemons which are behind can
+    /// still be sent changes.
     fn replace(&mut self, snapshot: &ConfigurationSnapshot) -> bool {
         let from = self.revision();
         if snapshot.revision <= from {
@@ -275,30 +284,31 @@
             to: snapshot.revision,
             changes: self.current.changes_to(snapshot),
         };
-        if from > Revision(0) && self.apply(&delta) == Applied::Applied {
-            self.log.note_gap(from, snapshot.revision);
+        if from > Revision(0) && self.apply(&delta) == ApplyOutcome::Applied {
+            self.log.record_gap(from, snapshot.revision);
             return true;
         }
         let replaced = Arc::make_mut(&mut self.current).apply_snapshot(snapshot);
-        self.log.restart(snapshot.revision);
-        self.risen();
+        self.log.reset(snapshot.revision);
+        self.after_revision_advanced();
         replaced
     }
 
-    /// Follows up a rise of the revision in force: whatever was asked for may have come.
-    fn risen(&mut self) {
-        self.covered = self.covered.max(self.revision());
-        self.question = None;
+    /// Updates state after the revision in force has advanced; clears the outstanding request, which
+    /// may have been satisfied.
+    fn after_revision_advanced(&mut self) {
+        self.covered_revision = self.covered_revision.max(self.revision());
+        self.request = None;
         self.unanswered = 0;
     }
 
-    fn push(&mut self, now: Timestamp) -> Vec<KeeperAction> {
+    fn push(&mut self, now: Timestamp) -> Vec<ReplicatorAction> {
         let revision = self.revision();
-        if self.pushed >= revision || now < self.next_push {
+        if self.pushed_revision >= revision || now < self.next_push {
             return Vec::new();
         }
-        let from = self.pushed;
-        self.pushed = revision;
+        let from = self.pushed_revision;
+        self.pushed_revision = revision;
         self.next_push = now + self.settings.push_interval;
         let behind: Vec<&Peer> = self
             .members
@@ -315,48 +325,53 @@
             .collect()
     }
 
-    /// A delta for one member; a member that lacks more than is kept asks for a snapshot itself.
-    fn push_to(&self, to: Peer, from: Revision) -> Option<KeeperAction> {
+    /// A delta for one member. A member that lacks more changes than are kept requests a snapshot
+    /// itself.
+    fn push_to(&self, to: Peer, from: Revision) -> Option<ReplicatorAction> {
         let have = self.known_revision(&to).unwrap_or(from);
         let message = Message::Configuration(self.log.since(have)?);
-        Some(KeeperAction::Send { to, message })
+        Some(ReplicatorAction::Send { to, message })
     }
 
     fn known_revision(&self, peer: &Peer) -> Option<Revision> {
         self.known.get(&peer.name).map(|known| known.revision)
     }
 
-    fn ask(&mut self, coordinates: bool, now: Timestamp) -> Option<KeeperAction> {
-        if let Some(question) = &self.question {
-            if now.since(question.asked) < self.timeout() {
+    fn request_missing(
+        &mut self,
+        is_coordinator: bool,
+        now: Timestamp,
+    ) -> Option<ReplicatorAction> {
+        if let Some(request) = &self.request {
+            if now.since(request.sent_at) < self.timeout() {
                 return None;
             }
-            // One that did not answer is asked again only after it has been heard again.
-            self.known.remove(&question.to);
-            self.question = None;
+            // A peer that did not answer is asked again only after another message from it.
+            self.known.remove(&request.to);
+            self.request = None;
             self.unanswered += 1;
         }
-        let candidates: Vec<&Known> = self
+        let candidates: Vec<&PeerRevision> = self
             .known
             .values()
-            .filter(|known| self.may_ask(known, coordinates, now))
+            .filter(|known| self.may_request_from(known, is_coordinator, now))
             .collect();
         let to = candidates.choose(&mut self.random)?.peer.clone();
-        self.question = Some(Question {
+        self.request = Some(OutstandingRequest {
             to: to.name.clone(),
-            asked: now,
+            sent_at: now,
         });
         let have = self.revision();
         let message = Message::ConfigurationWanted { have };
-        Some(KeeperAction::Send { to, message })
+        Some(ReplicatorAction::Send { to, message })
     }
 
-    /// How long the present question may stay unanswered.
+    /// Timeout of the outstanding request.
     fn timeout(&self) -> Duration {
         let (first, doublings) = if self.revision() == Revision(0) {
             (self.settings.snapshot_timeout, self.unanswered)
         } else {
-            let doublings = self.unanswered.saturating_sub(FAST_QUESTIONS);
+            let doublings = self.unanswered.saturating_sub(FAST_REQUESTS);
             (self.settings.answer_timeout, doublings)
         };
         let factor = 1_u32.checked_shl(doublings).unwrap_or(u32::MAX);
@@ -365,30 +380,30 @@
             .min(self.settings.timeout_limit)
     }
 
-    fn may_ask(&self, known: &Known, coordinates: bool, now: Timestamp) -> bool {
-        let patience = if known.peer.zone == self.zone || coordinates {
-            self.settings.patience
+    fn may_request_from(&self, known: &PeerRevision, is_coordinator: bool, now: Timestamp) -> bool {
+        let request_delay = if known.peer.zone == self.zone || is_coordinator {
+            self.settings.request_delay
         } else {
-            self.settings.outside_patience
+            self.settings.cross_zone_request_delay
         };
         known.revision > self.revision()
             && known
                 .ahead_since
-                .is_some_and(|since| now.since(since) >= patience)
+                .is_some_and(|since| now.since(since) >= request_delay)
     }
 
-    fn answered(&mut self, by: &DaemonName) {
+    fn clear_request(&mut self, by: &DaemonName) {
         if self
-            .question
+            .request
             .as_ref()
-            .is_some_and(|question| question.to == *by)
+            .is_some_and(|request| request.to == *by)
         {
-            self.question = None;
+            self.request = None;
             self.unanswered = 0;
         }
     }
 
-    fn answer(&mut self, from: &Peer, have: Revision, now: Timestamp) -> Option<KeeperAction> {
+    fn answer(&mut self, from: &Peer, have: Revision, now: Timestamp) -> Option<ReplicatorAction> {
         if have >= self.revision() {
             return None;
         }
@@ -401,10 +416,11 @@
             None => self.snapshot_for(&from.name, now)?,
         };
         let to = from.clone();
-        Some(KeeperAction::Send { to, message })
+        Some(ReplicatorAction::Send { to, message })
     }
 
-    /// A snapshot, unless the same daemon was just sent one: a doubled question costs nothing.
+    /// A snapshot, unless the same daemon was sent one recently, so that duplicate requests cost
+    /// nothing.
     fn snapshot_for(&mut self, name: &DaemonName, now: Timestamp) -> Option<Message> {
         let recent = self
             .snapshots_sent
@@ -417,7 +433,7 @@
         Some(Message::Snapshot(self.current.snapshot()))
     }
 
-    fn outside(&self) -> usize {
+    fn other_zone_peers(&self) -> usize {
         self.known
             .values()
             .filter(|known| known.peer.zone != self.zone)
--- a/crates/control/src/coordinator/answers.rs
+++ b/crates/control/src/coordinator/answers.rs
@@ -11,7 +11,7 @@
 use super::leading::{Block, Context, Leading};
 use super::loads::Tier;
 use super::sample::{SAMPLE, sample};
-use crate::observation::is_near;
+use crate::observation::is_similar_load;
 
 /// Estimate added while something else has to happen before the load.
 const PREPARATION: Duration = Duration::from_secs(1);
@@ -99,7 +99,7 @@
     /// Whether the loads told are still near enough to choose by.
     fn has_loads_of(&self, sample: &[Replica]) -> bool {
         let mut pairs = self.sample.iter().zip(sample);
-        pairs.all(|(old, new)| is_near(old.outstanding, new.outstanding))
+        pairs.all(|(old, new)| is_similar_load(old.outstanding, new.outstanding))
     }
 }
 
--- a/crates/control/src/gossip/mod.rs
+++ b/crates/control/src/gossip/mod.rs
@@ -1,13 +1,13 @@
-//! Everything that daemons tell each other unasked, as one state machine: members, configuration,
-//! coordinators of zones and marks on runners.
+//! Gossip between daemons as one state machine: members, configuration, coordinators of zones and
+//! marks on runners.
 //!
-//! Facts ride on whatever is sent. News is also sent for its own sake, to a few random members every
-//! fraction of a second, until each daemon has sent it a bounded number of times; without news,
-//! nothing but probes is sent. Between zones only coordinators talk.
+//! Facts are piggybacked on every message. Pending rumors are also sent in messages of their own, to
+//! a few random members several times a second, until each daemon has sent them a bounded number of
+//! times; without pending rumors, only probes are sent. Only coordinators communicate across zones.
 
+mod cross_zone;
 mod envelopes;
 mod interface;
-mod outside;
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,16 +15,18 @@
 use flaxward_types::{Timestamp, ZoneName};
 use flaxward_wire::{Envelope, Message, Peer, RunnerMark, ZoneHead};
 
-use crate::configuration::{Applied, Configuration, ConfigurationKeeper, KeeperAction};
+use crate::configuration::{
+    ApplyOutcome, Configuration, ConfigurationReplicator, ReplicatorAction,
+};
 use crate::heads::Heads;
 use crate::marks::Marks;
 use crate::membership::{Membership, MembershipAction, MembershipEvent};
 
+use cross_zone::CrossZone;
 pub use interface::{GossipAction, GossipEvent, GossipSettings};
-use outside::Outside;
 
-/// Envelopes of news to one member at one time, at most; for when much happens at once.
-const NEWS_ENVELOPES: usize = 4;
+/// Maximum number of rumor envelopes sent to one member in one round, for bursts of changes.
+const MAX_RUMOR_ENVELOPES: usize = 4;
 
 /// The gossip of one daemon.
 #[derive(Clone, Debug)]
@@ -32,12 +34,12 @@
     settings: GossipSettings,
     me: Peer,
     membership: Membership,
-    configuration: ConfigurationKeeper,
+    configuration: ConfigurationReplicator,
     heads: Heads,
     marks: Marks,
-    outside: Outside,
-    coordinates: bool,
-    repeat_turn: u8,
+    cross_zone: CrossZone,
+    is_coordinator: bool,
+    anti_entropy_turn: u8,
     next_rumors: Timestamp,
 }
 
@@ -58,21 +60,21 @@
             incarnation,
             seed,
         );
-        let configuration = ConfigurationKeeper::new(
+        let configuration = ConfigurationReplicator::new(
             settings.configuration.clone(),
             me.zone.clone(),
             seed.wrapping_add(1),
         );
         Self {
-            outside: Outside::new(me.address, seeds, seed.wrapping_add(2)),
+            cross_zone: CrossZone::new(me.address, seeds, seed.wrapping_add(2)),
             settings,
             me,
             membership,
             configuration,
             heads: Heads::default(),
             marks: Marks::default(),
-            coordinates: false,
-            repeat_turn: 0,
+            is_coordinator: false,
+            anti_entropy_turn: 0,
             next_rumors: Timestamp::ZERO,
         }
     }
@@ -97,7 +99,7 @@
         &self.heads
     }
 
-    /// The coordinator of a zone at its present address, if one is known and, in the own zone, live.
+    /// The coordinator of a zone at its current address, if one is known and, in the own zone, live.
     pub fn coordinator(&self, zone: &ZoneName) -> Option<Peer> {
         let head = self.heads.get(zone)?;
         if *zone != self.me.zone {
@@ -114,36 +116,36 @@
         match event {
             GossipEvent::Tick => self.tick(now),
             GossipEvent::Received(envelope) => self.receive(envelope, now),
-            GossipEvent::Learnt(delta) => {
-                let applied = self.configuration.learn(&delta);
-                self.after_learning(applied, now)
+            GossipEvent::Watched(delta) => {
+                let applied = self.configuration.apply_watch_delta(&delta);
+                self.after_store_update(applied, now)
             }
             GossipEvent::Listed(snapshot) => {
-                let changed = self.configuration.learn_snapshot(&snapshot);
+                let changed = self.configuration.apply_listing(&snapshot);
                 let applied = if changed {
-                    Applied::Applied
+                    ApplyOutcome::Applied
                 } else {
-                    Applied::Old
+                    ApplyOutcome::Old
                 };
-                self.after_learning(applied, now)
+                self.after_store_update(applied, now)
             }
             GossipEvent::Runner { runner, leaving } => {
-                let changed = self.marks.set(&runner, leaving, now);
-                self.after_marks(changed, now)
+                let changed = self.marks.record_view(&runner, leaving, now);
+                self.after_mark_change(changed, now)
             }
             GossipEvent::Machines(listed) => {
                 let before = self.marks.leaving();
-                self.marks.machines(listed, now);
+                self.marks.record_machine_list(listed, now);
                 let changed = self.marks.leaving() != before;
                 changed
                     .then_some(GossipAction::MarksChanged)
                     .into_iter()
                     .collect()
             }
-            GossipEvent::Lead(term) => self.lead(term, now),
+            GossipEvent::Lead(term) => self.become_coordinator(term, now),
             GossipEvent::Resign => {
-                self.coordinates = false;
-                self.marks.forget_views();
+                self.is_coordinator = false;
+                self.marks.clear_views();
                 Vec::new()
             }
             GossipEvent::Leave => self.leave(now),
@@ -152,9 +154,9 @@
 
     fn tick(&mut self, now: Timestamp) -> Vec<GossipAction> {
         let members = self.membership.handle(MembershipEvent::Tick, now);
-        let mut actions = self.carry_out_membership(members);
-        let configuration = self.configuration.tick(self.coordinates, now);
-        actions.extend(self.carry_out_configuration(configuration));
+        let mut actions = self.apply_membership_actions(members);
+        let configuration = self.configuration.tick(self.is_coordinator, now);
+        actions.extend(self.apply_replicator_actions(configuration));
         actions.extend(self.spread_rumors(now));
         actions.extend(self.exchange(now));
         actions
@@ -172,7 +174,8 @@
         if from.name == self.me.name {
             return Vec::new();
         }
-        self.configuration.heard(&from, configuration, now);
+        self.configuration
+            .record_peer_revision(&from, configuration, now);
         let mut actions = self.merge_facts(&from, &heads, &marks, &message, now);
         let event = MembershipEvent::Received {
             from: from.clone(),
@@ -180,10 +183,10 @@
             message: message.clone(),
         };
         let from_membership = self.membership.handle(event, now);
-        actions.extend(self.carry_out_membership(from_membership));
+        actions.extend(self.apply_membership_actions(from_membership));
         let from_configuration = self.configuration.receive(&from, &message, now);
-        actions.extend(self.carry_out_configuration(from_configuration));
-        if is_for_others(&message) {
+        actions.extend(self.apply_replicator_actions(from_configuration));
+        if is_for_other_component(&message) {
             actions.push(GossipAction::Deliver(from, message));
         }
         actions
@@ -209,26 +212,28 @@
             actions.push(GossipAction::MarksChanged);
         }
         if from.zone != self.me.zone {
-            self.outside.heard(from);
-            actions.extend(self.answer_outside(from, heads, marks, message));
+            self.cross_zone.record_contact(from);
+            actions.extend(self.reply_to_other_zone(from, heads, marks, message));
         }
         actions
     }
 
-    fn after_learning(&mut self, applied: Applied, now: Timestamp) -> Vec<GossipAction> {
+    fn after_store_update(&mut self, applied: ApplyOutcome, now: Timestamp) -> Vec<GossipAction> {
         match applied {
-            Applied::Applied => {
+            ApplyOutcome::Applied => {
                 let mut actions = vec![GossipAction::ConfigurationChanged];
-                let pushes = self.configuration.tick(self.coordinates, now);
-                actions.extend(self.carry_out_configuration(pushes));
+                let pushes = self.configuration.tick(self.is_coordinator, now);
+                actions.extend(self.apply_replicator_actions(pushes));
                 actions
             }
-            Applied::Behind | Applied::Malformed => vec![GossipAction::ConfigurationIncomplete],
-            Applied::Old => Vec::new(),
+            ApplyOutcome::Behind | ApplyOutcome::Malformed => {
+                vec![GossipAction::ConfigurationIncomplete]
+            }
+            ApplyOutcome::Old => Vec::new(),
         }
     }
 
-    fn after_marks(&mut self, changed: bool, now: Timestamp) -> Vec<GossipAction> {
+    fn after_mark_change(&mut self, changed: bool, now: Timestamp) -> Vec<GossipAction> {
         if !changed {
             return Vec::new();
         }
@@ -237,8 +242,12 @@
         actions
     }
 
-    fn lead(&mut self, term: flaxward_types::Term, now: Timestamp) -> Vec<GossipAction> {
-        self.coordinates = true;
+    fn become_coordinator(
+        &mut self,
+        term: flaxward_types::Term,
+        now: Timestamp,
+    ) -> Vec<GossipAction> {
+        self.is_coordinator = true;
         let head = ZoneHead {
             zone: self.me.zone.clone(),
             term,
@@ -249,38 +258,40 @@
         }
         let mut actions = vec![GossipAction::HeadsChanged];
         actions.extend(self.spread_rumors(now));
-        actions.extend(self.announce_outside());
+        actions.extend(self.announce_to_other_zones());
         actions
     }
 
     fn leave(&mut self, now: Timestamp) -> Vec<GossipAction> {
         let from_membership = self.membership.leave(now);
-        let mut actions = self.carry_out_membership(from_membership);
+        let mut actions = self.apply_membership_actions(from_membership);
         actions.extend(self.spread_rumors(now));
         actions
     }
 
-    /// Sends news for its own sake, paced.
+    /// Sends pending rumors in messages of their own, rate-limited by the rumor interval.
     fn spread_rumors(&mut self, now: Timestamp) -> Vec<GossipAction> {
-        if now < self.next_rumors || !self.has_news() {
+        if now < self.next_rumors || !self.has_pending_rumors() {
             return Vec::new();
         }
         self.next_rumors = now + self.settings.rumor_interval;
         let fanout = self.settings.rumor_fanout;
-        let chosen = self.membership.next_for_news(fanout);
+        let chosen = self.membership.next_rumor_targets(fanout);
         let mut actions = Vec::new();
         for to in chosen {
-            actions.extend(self.send_news(&to));
+            actions.extend(self.send_rumors(&to));
         }
         actions
     }
 
-    /// Sends all news to one member, if it does not take too many envelopes.
-    fn send_news(&mut self, to: &Peer) -> Vec<GossipAction> {
-        let news = self.membership.news() + self.heads.news() + self.marks.news();
+    /// Sends all pending rumors to one member, within the limit of envelopes.
+    fn send_rumors(&mut self, to: &Peer) -> Vec<GossipAction> {
+        let pending = self.membership.pending_rumors()
+            + self.heads.pending_rumors()
+            + self.marks.pending_rumors();
         let mut sent = 0;
         let mut actions = Vec::new();
-        while sent < news && actions.len() < NEWS_ENVELOPES {
+        while sent < pending && actions.len() < MAX_RUMOR_ENVELOPES {
             let envelope = self.wrap(to, Message::Facts);
             sent += envelope.members.len() + envelope.heads.len() + envelope.marks.len();
             actions.push(GossipAction::Send(to.address, envelope));
@@ -288,35 +299,36 @@
         actions
     }
 
-    fn has_news(&self) -> bool {
-        self.membership.news() + self.heads.news() + self.marks.news() > 0
+    fn has_pending_rumors(&self) -> bool {
+        self.membership.pending_rumors() + self.heads.pending_rumors() + self.marks.pending_rumors()
+            > 0
     }
 
-    fn carry_out_membership(&mut self, actions: Vec<MembershipAction>) -> Vec<GossipAction> {
-        let mut carried_out = Vec::new();
+    fn apply_membership_actions(&mut self, actions: Vec<MembershipAction>) -> Vec<GossipAction> {
+        let mut gossip_actions = Vec::new();
         let mut changed = false;
         for action in actions {
             match action {
                 MembershipAction::Send { to, message } => {
                     let envelope = self.wrap_for_zone(to, message);
-                    carried_out.push(GossipAction::Send(to, envelope));
+                    gossip_actions.push(GossipAction::Send(to, envelope));
                 }
                 MembershipAction::MemberChanged { .. } => changed = true,
             }
         }
         if changed {
             self.configuration.set_members(&self.membership.others());
-            carried_out.push(GossipAction::MembersChanged);
+            gossip_actions.push(GossipAction::MembersChanged);
         }
-        carried_out
+        gossip_actions
     }
 
-    fn carry_out_configuration(&mut self, actions: Vec<KeeperAction>) -> Vec<GossipAction> {
+    fn apply_replicator_actions(&mut self, actions: Vec<ReplicatorAction>) -> Vec<GossipAction> {
         actions
             .into_iter()
             .map(|action| match action {
-                KeeperAction::Send { to, message } => self.send(&to, message),
-                KeeperAction::Changed => GossipAction::ConfigurationChanged,
+                ReplicatorAction::Send { to, message } => self.send(&to, message),
+                ReplicatorAction::Changed => GossipAction::ConfigurationChanged,
             })
             .collect()
     }
@@ -327,8 +339,8 @@
     }
 }
 
-/// Whether a message is for other parts of the daemon.
-fn is_for_others(message: &Message) -> bool {
+/// Whether a message is for another component of the daemon.
+fn is_for_other_component(message: &Message) -> bool {
     match message {
         Message::Probe { .. }
         | Message::ProbeFor { .. }
--- a/crates/control/src/heads.rs
+++ b/crates/control/src/heads.rs
@@ -1,4 +1,4 @@
-//! Which daemon coordinates which zone, as far as this daemon has heard.
+//! The coordinator of each zone, as known to this daemon.
 
 use std::collections::BTreeMap;
 
@@ -7,13 +7,13 @@
 
 use crate::rumors::{Budget, Rumors};
 
-/// The heads of all zones known.
+/// The known coordinators of all zones.
 #[derive(Clone, Debug, Default)]
 pub struct Heads {
     by_zone: BTreeMap<ZoneName, ZoneHead>,
     zone_rumors: Rumors<ZoneName>,
-    outside_rumors: Rumors<ZoneName>,
-    repeated: Option<ZoneName>,
+    cross_zone_rumors: Rumors<ZoneName>,
+    last_anti_entropy: Option<ZoneName>,
 }
 
 impl Heads {
@@ -27,8 +27,7 @@
         self.by_zone.values()
     }
 
-    /// Takes over a head if it is newer than the one known: a higher term wins. Returns whether
-    /// anything changed.
+    /// Merges a head; the higher term wins. Returns whether anything changed.
     pub fn merge(&mut self, head: &ZoneHead) -> bool {
         if self
             .by_zone
@@ -39,7 +38,7 @@
         }
         self.by_zone.insert(head.zone.clone(), head.clone());
         self.zone_rumors.push(head.zone.clone());
-        self.outside_rumors.push(head.zone.clone());
+        self.cross_zone_rumors.push(head.zone.clone());
         true
     }
 
@@ -50,40 +49,40 @@
             .filter(|known| rank(known) > rank(head))
     }
 
-    /// Number of heads on their way through the zone.
-    pub fn news(&self) -> usize {
+    /// Number of heads still to be disseminated within the zone.
+    pub fn pending_rumors(&self) -> usize {
         self.zone_rumors.len()
     }
 
-    /// Whether heads are on their way to other zones.
-    pub fn spreading_outside(&self) -> bool {
-        !self.outside_rumors.is_empty()
+    /// Whether heads are still to be disseminated to other zones.
+    pub fn has_cross_zone_rumors(&self) -> bool {
+        !self.cross_zone_rumors.is_empty()
     }
 
-    /// Picks heads for an envelope to a member of the own zone.
+    /// Selects heads for an envelope to a member of the own zone.
     pub fn for_zone(&mut self, budget: &mut Budget, limit: u32) -> Vec<ZoneHead> {
         let heads = &self.by_zone;
         self.zone_rumors
             .select(budget, limit, |zone| heads.get(zone).cloned())
     }
 
-    /// Picks heads for an envelope to another zone.
-    pub fn for_outside(&mut self, budget: &mut Budget, limit: u32) -> Vec<ZoneHead> {
+    /// Selects heads for an envelope to another zone.
+    pub fn for_other_zone(&mut self, budget: &mut Budget, limit: u32) -> Vec<ZoneHead> {
         let heads = &self.by_zone;
-        self.outside_rumors
+        self.cross_zone_rumors
             .select(budget, limit, |zone| heads.get(zone).cloned())
     }
 
-    /// The next head in turn, whether it is news or not: repairs what rumors missed.
-    pub fn repeat(&mut self) -> Option<ZoneHead> {
-        let next = crate::rumors::next_in_turn(&self.by_zone, self.repeated.as_ref())?;
-        self.repeated = Some(next.clone());
+    /// The next head in round-robin order, for anti-entropy: repairs updates that rumors missed.
+    pub fn next_for_anti_entropy(&mut self) -> Option<ZoneHead> {
+        let next = crate::rumors::next_round_robin(&self.by_zone, self.last_anti_entropy.as_ref())?;
+        self.last_anti_entropy = Some(next.clone());
         self.by_zone.get(&next).cloned()
     }
 }
 
-/// Order of two heads of a zone. A term has one holder, so the coordinator decides only between
-/// two addresses of it; what matters is that everyone decides alike.
+/// Total order of the heads of a zone. A term has one holder, so the coordinator only breaks ties
+/// between two of its addresses; every daemon must break them the same way.
 fn rank(head: &ZoneHead) -> (flaxward_types::Term, &flaxward_wire::Peer) {
     (head.term, &head.coordinator)
 }
--- a/crates/control/src/marks.rs
+++ b/crates/control/src/marks.rs
@@ -1,9 +1,9 @@
-//! Marks on runners: which take no new work.
+//! Marks on runners that take no new work.
 //!
-//! A daemon marks a runner as soon as its own view says that it is leaving. It takes a mark back at
-//! once only if its own view said so before; else it may be that only its machine list lags, so it
-//! must see the runner staying for [`CLEAR_AFTER`]. Every change raises the epoch, and the higher
-//! epoch holds everywhere.
+//! A daemon marks a runner as soon as its own view shows the runner as leaving. It clears a mark
+//! immediately only if its own view showed the runner as leaving before. Otherwise its machine list
+//! may merely lag, so its view must show the runner as staying for [`CLEAR_DELAY`]. Every change
+//! raises the epoch, and the higher epoch wins on every daemon.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,27 +11,27 @@
 use flaxward_types::{RunnerName, Timestamp};
 use flaxward_wire::RunnerMark;
 
-use crate::rumors::{Budget, Rumors, next_in_turn};
+use crate::rumors::{Budget, Rumors, next_round_robin};
 
-/// Time for which a mark is kept once its runner is in no machine list read here. Longer than a gateway
-/// keeps a list of ready replicas that it does not use: such a list may still name the runner.
-pub const FORGET_UNLISTED: Duration = Duration::from_hours(1);
+/// Retention of a mark whose runner is no longer in the machine list. Longer than a gateway keeps an
+/// unused list of ready replicas, since such a list may still name the runner.
+pub const UNLISTED_RETENTION: Duration = Duration::from_hours(1);
 
-/// Time for which a daemon must see that a runner stays before it takes back another's mark; longer
-/// than machine lists lag.
-pub const CLEAR_AFTER: Duration = Duration::from_mins(1);
+/// Time for which a daemon must see a runner as staying before it clears a mark that another daemon
+/// set. Exceeds the lag of machine lists.
+pub const CLEAR_DELAY: Duration = Duration::from_mins(1);
 
 /// All marks known.
 #[derive(Clone, Debug, Default)]
 pub struct Marks {
     by_runner: BTreeMap<RunnerName, Mark>,
-    /// What this daemon itself last saw of each runner, and since when.
+    /// This daemon's own view of each runner.
     views: BTreeMap<RunnerName, View>,
     /// The machine list as last read.
     listed: Option<BTreeSet<RunnerName>>,
     zone_rumors: Rumors<RunnerName>,
-    outside_rumors: Rumors<RunnerName>,
-    repeated: Option<RunnerName>,
+    cross_zone_rumors: Rumors<RunnerName>,
+    last_anti_entropy: Option<RunnerName>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -44,21 +44,21 @@
 struct Mark {
     epoch: u64,
     leaving: bool,
-    /// When its runner was last in the machine list, or else when the mark last changed.
+    /// When the runner was last in the machine list or the mark last changed, whichever is later.
     last_seen: Timestamp,
 }
 
 impl Mark {
-    /// The higher epoch holds; on a tie, leaving.
+    /// The higher epoch wins; on a tie, leaving wins.
     fn rank(self) -> (u64, bool) {
         (self.epoch, self.leaving)
     }
 }
 
 impl Marks {
-    /// Notes this daemon's own view of a runner, all its sources together; to be told again and
-    /// again. Returns whether the mark changed.
-    pub fn set(&mut self, runner: &RunnerName, leaving: bool, now: Timestamp) -> bool {
+    /// Records this daemon's own view of a runner, combined from all its sources. Must be called
+    /// repeatedly, also for an unchanged view. Returns whether the mark changed.
+    pub fn record_view(&mut self, runner: &RunnerName, leaving: bool, now: Timestamp) -> bool {
         let before = self.views.get(runner).copied();
         let unchanged = before.filter(|view| view.leaving == leaving);
         let view = unchanged.unwrap_or(View {
@@ -70,9 +70,9 @@
             .by_runner
             .get(runner)
             .map_or((0, false), |mark| mark.rank());
-        let saw_it_leaving = before.is_some_and(|view| view.leaving);
-        let certain = saw_it_leaving != leaving || now.since(view.since) >= CLEAR_AFTER;
-        if marked == leaving || !certain {
+        let saw_leaving = before.is_some_and(|view| view.leaving);
+        let is_confirmed = saw_leaving != leaving || now.since(view.since) >= CLEAR_DELAY;
+        if marked == leaving || !is_confirmed {
             return false;
         }
         let mark = Mark {
@@ -84,12 +84,12 @@
         true
     }
 
-    /// Forgets this daemon's own views, such as when another daemon speaks for the zone.
-    pub fn forget_views(&mut self) {
+    /// Discards this daemon's own views, for example when another daemon becomes coordinator.
+    pub fn clear_views(&mut self) {
         self.views.clear();
     }
 
-    /// Takes over marks that are newer than those known. Returns whether anything changed.
+    /// Merges marks that are newer than those known. Returns whether anything changed.
     pub fn merge(&mut self, marks: &[RunnerMark], now: Timestamp) -> bool {
         let mut changed = false;
         for mark in marks {
@@ -115,13 +115,13 @@
     fn insert(&mut self, runner: &RunnerName, mark: Mark) {
         self.by_runner.insert(runner.clone(), mark);
         self.zone_rumors.push(runner.clone());
-        self.outside_rumors.push(runner.clone());
+        self.cross_zone_rumors.push(runner.clone());
     }
 
     /// The mark known here, if it is newer than the one given.
     pub fn newer_than(&self, mark: &RunnerMark) -> Option<RunnerMark> {
         let known = self.by_runner.get(&mark.runner)?;
-        (known.rank() > (mark.epoch, mark.leaving)).then(|| fact(&mark.runner, *known))
+        (known.rank() > (mark.epoch, mark.leaving)).then(|| runner_mark(&mark.runner, *known))
     }
 
     /// Whether a runner takes no new work.
@@ -143,20 +143,20 @@
         self.by_runner
             .iter()
             .filter(|(runner, _)| self.is_listed(runner))
-            .map(|(runner, mark)| fact(runner, *mark))
+            .map(|(runner, mark)| runner_mark(runner, *mark))
             .collect()
     }
 
-    /// Notes a machine list. A runner that is not in it may be gone, in another zone, or too new for a
-    /// list that lags; its mark is kept for [`FORGET_UNLISTED`].
-    pub fn machines(&mut self, listed: BTreeSet<RunnerName>, now: Timestamp) {
+    /// Records a machine list. A runner that is not in it may be gone, in another zone, or too new for
+    /// a list that lags; its mark is kept for [`UNLISTED_RETENTION`].
+    pub fn record_machine_list(&mut self, listed: BTreeSet<RunnerName>, now: Timestamp) {
         for runner in &listed {
             if let Some(mark) = self.by_runner.get_mut(runner) {
                 mark.last_seen = now;
             }
         }
         self.by_runner
-            .retain(|_, mark| now.since(mark.last_seen) <= FORGET_UNLISTED);
+            .retain(|_, mark| now.since(mark.last_seen) <= UNLISTED_RETENTION);
         self.views.retain(|runner, _| listed.contains(runner));
         self.listed = Some(listed);
     }
@@ -167,43 +167,44 @@
             .is_none_or(|listed| listed.contains(runner))
     }
 
-    /// Number of marks on their way through the zone.
-    pub fn news(&self) -> usize {
+    /// Number of marks still to be disseminated within the zone.
+    pub fn pending_rumors(&self) -> usize {
         self.zone_rumors.len()
     }
 
-    /// Whether marks are on their way to other zones.
-    pub fn spreading_outside(&self) -> bool {
-        !self.outside_rumors.is_empty()
+    /// Whether marks are still to be disseminated to other zones.
+    pub fn has_cross_zone_rumors(&self) -> bool {
+        !self.cross_zone_rumors.is_empty()
     }
 
-    /// Picks marks for an envelope to a member of the own zone.
+    /// Selects marks for an envelope to a member of the own zone.
     pub fn for_zone(&mut self, budget: &mut Budget, limit: u32) -> Vec<RunnerMark> {
         let marks = &self.by_runner;
         self.zone_rumors.select(budget, limit, |runner| {
-            marks.get(runner).map(|mark| fact(runner, *mark))
+            marks.get(runner).map(|mark| runner_mark(runner, *mark))
         })
     }
 
-    /// Picks marks for an envelope to another zone.
-    pub fn for_outside(&mut self, budget: &mut Budget, limit: u32) -> Vec<RunnerMark> {
+    /// Selects marks for an envelope to another zone.
+    pub fn for_other_zone(&mut self, budget: &mut Budget, limit: u32) -> Vec<RunnerMark> {
         let marks = &self.by_runner;
-        self.outside_rumors.select(budget, limit, |runner| {
-            marks.get(runner).map(|mark| fact(runner, *mark))
+        self.cross_zone_rumors.select(budget, limit, |runner| {
+            marks.get(runner).map(|mark| runner_mark(runner, *mark))
         })
     }
 
-    /// The next mark in turn, whether it is news or not: repairs what rumors missed. A mark whose
-    /// runner is not listed is left out, or two daemons would keep reminding each other of it.
-    pub fn repeat(&mut self) -> Option<RunnerMark> {
-        let next = next_in_turn(&self.by_runner, self.repeated.as_ref())?;
-        self.repeated = Some(next.clone());
+    /// The next mark in round-robin order, for anti-entropy: repairs updates that rumors missed. A mark
+    /// whose runner is not listed is skipped; otherwise two daemons would keep sending it to each
+    /// other and it would never expire.
+    pub fn next_for_anti_entropy(&mut self) -> Option<RunnerMark> {
+        let next = next_round_robin(&self.by_runner, self.last_anti_entropy.as_ref())?;
+        self.last_anti_entropy = Some(next.clone());
         let mark = *self.by_runner.get(&next)?;
-        self.is_listed(&next).then(|| fact(&next, mark))
+        self.is_listed(&next).then(|| runner_mark(&next, mark))
     }
 }
 
-fn fact(runner: &RunnerName, mark: Mark) -> RunnerMark {
+fn runner_mark(runner: &RunnerName, mark: Mark) -> RunnerMark {
     RunnerMark {
         runner: runner.clone(),
         leaving: mark.leaving,
--- a/crates/control/src/membership/detection.rs
+++ b/crates/control/src/membership/detection.rs
@@ -1,4 +1,4 @@
-//! Failure detection: probes, indirect probes and suspicion, and whom to ask for members.
+//! Failure detection: probes, indirect probes and suspicion; also sends join requests.
 
 use flaxward_types::{DaemonName, Timestamp};
 use flaxward_wire::{MemberState, Message, Peer};
@@ -11,17 +11,18 @@
     pub(super) fn tick(&mut self, now: Timestamp, actions: &mut Vec<MembershipAction>) {
         let gap = now.since(self.last_tick.unwrap_or(now));
         self.last_tick = Some(now);
-        if gap > self.settings.pause {
-            self.forgive(now);
+        if gap > self.settings.stall_threshold {
+            self.reset_after_stall(now);
         }
-        self.end_suspicions(now, actions);
+        self.expire_suspicions(now, actions);
         self.advance_probe(now, actions);
-        self.ask_strangers(now, actions);
-        self.forget(now);
+        self.send_joins(now, actions);
+        self.purge_expired(now);
     }
 
-    /// After a pause of this daemon itself, nobody else is to blame for what it did not hear.
-    fn forgive(&mut self, now: Timestamp) {
+    /// Discards the current probe and restarts all suspicions after a stall of this daemon itself:
+    /// answers that it missed meanwhile say nothing about other members.
+    fn reset_after_stall(&mut self, now: Timestamp) {
         self.probes.current = None;
         self.next_probe = now;
         for since in self.suspects.values_mut() {
@@ -29,11 +30,11 @@
         }
     }
 
-    fn end_suspicions(&mut self, now: Timestamp, actions: &mut Vec<MembershipAction>) {
+    fn expire_suspicions(&mut self, now: Timestamp, actions: &mut Vec<MembershipAction>) {
         let over: Vec<DaemonName> = self
             .suspects
             .iter()
-            .filter(|(_, since)| now.since(**since) >= self.settings.suspicion)
+            .filter(|(_, since)| now.since(**since) >= self.settings.suspicion_timeout)
             .map(|(name, _)| name.clone())
             .collect();
         for name in over {
@@ -63,13 +64,13 @@
         if now < self.next_probe {
             return;
         }
-        self.end_probe(now, actions);
+        self.finish_probe(now, actions);
         self.next_probe = now + self.settings.probe_interval;
-        self.begin_probe(now, actions);
+        self.start_probe(now, actions);
     }
 
-    fn begin_probe(&mut self, now: Timestamp, actions: &mut Vec<MembershipAction>) {
-        let Some(target) = self.probe_turn.next(&self.others, &mut self.random) else {
+    fn start_probe(&mut self, now: Timestamp, actions: &mut Vec<MembershipAction>) {
+        let Some(target) = self.probe_rotation.next(&self.others, &mut self.random) else {
             return;
         };
         let sequence = self.probes.next_sequence();
@@ -80,7 +81,7 @@
         self.probes.current = Some(Probe {
             sequence,
             target,
-            began: now,
+            started_at: now,
             indirect: false,
             answered: false,
         });
@@ -89,7 +90,7 @@
     fn probe_indirectly(&mut self, now: Timestamp, actions: &mut Vec<MembershipAction>) {
         let timeout = self.settings.probe_timeout;
         let Some(probe) = self.probes.current.as_mut().filter(|probe| {
-            !probe.answered && !probe.indirect && now.since(probe.began) >= timeout
+            !probe.answered && !probe.indirect && now.since(probe.started_at) >= timeout
         }) else {
             return;
         };
@@ -117,7 +118,7 @@
         }
     }
 
-    fn end_probe(&mut self, now: Timestamp, actions: &mut Vec<MembershipAction>) {
+    fn finish_probe(&mut self, now: Timestamp, actions: &mut Vec<MembershipAction>) {
         let Some(probe) = self.probes.current.take() else {
             return;
         };
@@ -130,12 +131,15 @@
         }
     }
 
-    fn ask_strangers(&mut self, now: Timestamp, actions: &mut Vec<MembershipAction>) {
-        if self.left {
+    fn send_joins(&mut self, now: Timestamp, actions: &mut Vec<MembershipAction>) {
+        if self.has_left {
             return;
         }
-        let alone = self.others.is_empty();
-        for to in self.joining.due(alone, &self.table, now, &mut self.random) {
+        let is_isolated = self.others.is_empty();
+        for to in self
+            .joining
+            .due(is_isolated, &self.table, now, &mut self.random)
+        {
             actions.push(MembershipAction::Send {
                 to,
                 message: Message::Join,
@@ -143,8 +147,11 @@
         }
     }
 
-    fn forget(&mut self, now: Timestamp) {
-        for name in self.table.forget_before(now - self.settings.forget_after) {
+    fn purge_expired(&mut self, now: Timestamp) {
+        for name in self
+            .table
+            .remove_expired(now - self.settings.dead_member_retention)
+        {
             self.rumors.remove(&name);
         }
     }
@@ -155,7 +162,7 @@
         sequence: u64,
         actions: &mut Vec<MembershipAction>,
     ) {
-        if self.left {
+        if self.has_left {
             return;
         }
         let target = self.me.name.clone();
@@ -188,10 +195,10 @@
         actions: &mut Vec<MembershipAction>,
     ) {
         self.probes.answered(sequence, target);
-        if let Some((asker, sequence)) = self.probes.relayed(sequence) {
+        if let Some((requester, sequence)) = self.probes.take_relayed(sequence) {
             let target = target.clone();
             actions.push(MembershipAction::Send {
-                to: asker.address,
+                to: requester.address,
                 message: Message::Alive { sequence, target },
             });
         }
--- a/crates/control/src/membership/joining.rs
+++ b/crates/control/src/membership/joining.rs
@@ -1,5 +1,5 @@
-//! When a daemon asks strangers for the members of the zone: its seeds, dead members, and senders
-//! that it does not know.
+//! Schedule of join requests for the members of the zone, to seeds, dead members and unknown
+//! senders.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -13,65 +13,67 @@
 use super::MembershipSettings;
 use super::table::MemberTable;
 
-/// Shortest time between two asks of the same sender.
-const GREETING_INTERVAL: Duration = Duration::from_secs(2);
+/// Minimum time between two join requests to the same sender.
+const SENDER_JOIN_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Most senders remembered as asked.
-const MAX_GREETED: usize = 256;
+/// Maximum number of senders remembered as asked.
+const MAX_RECENTLY_ASKED: usize = 256;
 
-/// Whom to ask and when.
+/// Decides which addresses to send join requests to, and when.
 #[derive(Clone, Debug)]
-pub struct Joining {
+pub struct JoinSchedule {
     seeds: Vec<SocketAddr>,
-    /// Seeds that have shown to be in another zone.
-    elsewhere: BTreeSet<SocketAddr>,
+    /// Seeds found to be in another zone.
+    other_zone_seeds: BTreeSet<SocketAddr>,
     first_backoff: Duration,
     backoff: Duration,
     backoff_limit: Duration,
     interval: Duration,
     next: Timestamp,
-    greeted: BTreeMap<SocketAddr, Timestamp>,
+    recently_asked: BTreeMap<SocketAddr, Timestamp>,
 }
 
-impl Joining {
-    /// Asks these seeds, without the daemon's own address.
+impl JoinSchedule {
+    /// A schedule for these seeds, without the daemon's own address.
     pub fn new(settings: &MembershipSettings, me: SocketAddr, mut seeds: Vec<SocketAddr>) -> Self {
         seeds.retain(|seed| *seed != me);
         Self {
             seeds,
-            elsewhere: BTreeSet::new(),
+            other_zone_seeds: BTreeSet::new(),
             first_backoff: settings.join_backoff,
             backoff: settings.join_backoff,
             backoff_limit: settings.join_backoff_limit,
             interval: settings.rejoin_interval,
             next: Timestamp::ZERO,
-            greeted: BTreeMap::new(),
+            recently_asked: BTreeMap::new(),
         }
     }
 
-    /// Notes that a daemon of another zone listens at this address.
-    pub fn is_elsewhere(&mut self, address: SocketAddr) {
+    /// Records that a daemon of another zone listens at this address.
+    pub fn record_other_zone(&mut self, address: SocketAddr) {
         if self.seeds.contains(&address) {
-            self.elsewhere.insert(address);
+            self.other_zone_seeds.insert(address);
         }
     }
 
-    /// Whether a sender that is not known may be asked now.
-    pub fn may_greet(&mut self, address: SocketAddr, now: Timestamp) -> bool {
-        self.greeted
-            .retain(|_, asked| now.since(*asked) < GREETING_INTERVAL);
-        if self.greeted.contains_key(&address) || self.greeted.len() >= MAX_GREETED {
+    /// Whether an unknown sender may be sent a join request now; records the request if so.
+    pub fn may_ask_sender(&mut self, address: SocketAddr, now: Timestamp) -> bool {
+        self.recently_asked
+            .retain(|_, asked| now.since(*asked) < SENDER_JOIN_INTERVAL);
+        if self.recently_asked.contains_key(&address)
+            || self.recently_asked.len() >= MAX_RECENTLY_ASKED
+        {
             return false;
         }
-        self.greeted.insert(address, now);
+        self.recently_asked.insert(address, now);
         true
     }
 
-    /// Whom to ask now. A daemon that is alone asks all its seeds, at growing pauses; one that is
-    /// not asks one dead member or unseen seed now and then.
+    /// The addresses to send join requests to now. An isolated daemon asks all its seeds, with
+    /// exponential backoff; any other asks one dead member or unseen seed per rejoin interval.
     pub fn due(
         &mut self,
-        alone: bool,
+        is_isolated: bool,
         table: &MemberTable,
         now: Timestamp,
         random: &mut ChaCha8Rng,
@@ -79,24 +81,24 @@
         if now < self.next {
             return Vec::new();
         }
-        if alone {
+        if is_isolated {
             self.next = now + jitter(self.backoff, random);
             self.backoff = (self.backoff * 2).min(self.backoff_limit);
-            let mut asked = self.absent(table);
-            asked.extend(&self.elsewhere);
-            return asked;
+            let mut targets = self.missing_addresses(table);
+            targets.extend(&self.other_zone_seeds);
+            return targets;
         }
         self.backoff = self.first_backoff;
         self.next = now + jitter(self.interval, random);
-        self.absent(table)
+        self.missing_addresses(table)
             .choose(random)
             .copied()
             .into_iter()
             .collect()
     }
 
-    /// Addresses of dead members, and of seeds of this zone that are no live member.
-    fn absent(&self, table: &MemberTable) -> Vec<SocketAddr> {
+    /// Addresses of dead members, and of seeds of this zone that are not live members.
+    fn missing_addresses(&self, table: &MemberTable) -> Vec<SocketAddr> {
         let live: BTreeSet<SocketAddr> = table
             .live()
             .map(|member| member.update.peer.address)
@@ -109,7 +111,7 @@
             .seeds
             .iter()
             .copied()
-            .filter(|seed| !self.elsewhere.contains(seed));
+            .filter(|seed| !self.other_zone_seeds.contains(seed));
         let absent: BTreeSet<SocketAddr> = dead
             .chain(seeds)
             .filter(|address| !live.contains(address))
@@ -118,7 +120,7 @@
     }
 }
 
-/// Between three quarters and five quarters of a duration, so that daemons do not fall into step.
+/// A random duration from 75 % to 125 % of the given one, so that daemons do not synchronize.
 fn jitter(duration: Duration, random: &mut ChaCha8Rng) -> Duration {
     duration.mul_f64(random.random_range(0.75..1.25))
 }
--- a/crates/control/src/membership/merging.rs
+++ b/crates/control/src/membership/merging.rs
@@ -1,4 +1,4 @@
-//! What is made of facts and messages that come in.
+//! Handles received member updates and messages.
 
 use flaxward_types::Timestamp;
 use flaxward_wire::{MemberState, MemberUpdate, Message, Peer};
@@ -16,7 +16,7 @@
         actions: &mut Vec<MembershipAction>,
     ) {
         if from.zone != self.me.zone {
-            self.joining.is_elsewhere(from.address);
+            self.joining.record_other_zone(from.address);
             return;
         }
         if from.name == self.me.name {
@@ -41,11 +41,11 @@
             }
             _ => {}
         }
-        self.greet(from, now, actions);
+        self.join_unknown_sender(from, now, actions);
     }
 
     fn answer_join(&self, from: &Peer, actions: &mut Vec<MembershipAction>) {
-        if self.left {
+        if self.has_left {
             return;
         }
         let members = self.members().cloned().collect();
@@ -55,14 +55,19 @@
         });
     }
 
-    /// A sender that is not a live member here is asked for its members, and so learns what is said
-    /// of it.
-    fn greet(&mut self, from: &Peer, now: Timestamp, actions: &mut Vec<MembershipAction>) {
+    /// Sends a join request to a sender that is not a live member here. The envelope also tells the
+    /// sender which state this daemon has recorded for it.
+    fn join_unknown_sender(
+        &mut self,
+        from: &Peer,
+        now: Timestamp,
+        actions: &mut Vec<MembershipAction>,
+    ) {
         let known = self.table.get(&from.name).is_some_and(|member| {
             let present = member.is_live() || member.update.state == MemberState::Left;
             present && member.update.peer.address == from.address
         });
-        if !known && !self.left && self.joining.may_greet(from.address, now) {
+        if !known && !self.has_left && self.joining.may_ask_sender(from.address, now) {
             actions.push(MembershipAction::Send {
                 to: from.address,
                 message: Message::Join,
@@ -88,11 +93,11 @@
             .get(&update.peer.name)
             .map(|member| member.update.clone());
         if self.table.merge(update, now) {
-            self.note(before.as_ref(), update, now, actions);
+            self.after_update(before.as_ref(), update, now, actions);
         }
     }
 
-    /// Answers a fact about this daemon itself that is not so.
+    /// Refutes a false update about this daemon itself by raising the incarnation.
     fn refute(
         &mut self,
         update: &MemberUpdate,
@@ -100,15 +105,15 @@
         actions: &mut Vec<MembershipAction>,
     ) {
         let own = self.own_update();
-        if self.left || !replaces(update, &own) {
+        if self.has_left || !replaces(update, &own) {
             return;
         }
         self.incarnation = update.incarnation.saturating_add(1);
         let update = alive(self.me.clone(), self.incarnation);
-        self.adopt(&update, now, actions);
+        self.apply_own_update(&update, now, actions);
     }
 
-    pub(super) fn adopt(
+    pub(super) fn apply_own_update(
         &mut self,
         update: &MemberUpdate,
         now: Timestamp,
@@ -119,11 +124,11 @@
             .get(&update.peer.name)
             .map(|member| member.update.clone());
         self.table.insert(update.clone(), now);
-        self.note(before.as_ref(), update, now, actions);
+        self.after_update(before.as_ref(), update, now, actions);
     }
 
-    /// Follows up a fact that was taken over.
-    fn note(
+    /// Updates derived state after an update was applied.
+    fn after_update(
         &mut self,
         before: Option<&MemberUpdate>,
         update: &MemberUpdate,
@@ -145,8 +150,8 @@
             self.suspects.remove(name);
         }
         if before.is_none_or(|before| !is_live(before.state)) && is_live(update.state) {
-            self.probe_turn.add(name.clone(), &mut self.random);
-            self.news_turn.add(name.clone(), &mut self.random);
+            self.probe_rotation.add(name.clone(), &mut self.random);
+            self.rumor_rotation.add(name.clone(), &mut self.random);
         }
         let changed =
             before.is_none_or(|before| before.state != update.state || before.peer != update.peer);
--- a/crates/control/src/membership/mod.rs
+++ b/crates/control/src/membership/mod.rs
@@ -1,10 +1,10 @@
-//! Who is in the zone: failure detection and dissemination in the manner of SWIM.
+//! Membership of the zone: SWIM-style failure detection and dissemination.
 //!
-//! Each daemon probes one member a period, in random order. A member that answers neither the probe
-//! nor the probes of a few others becomes suspect; it refutes that by raising its incarnation, or is
-//! dead after a while. What is learnt rides on every envelope. A daemon that knows nobody asks its
-//! seeds; dead members and seeds are asked now and then, so that a zone that was cut in two joins
-//! again.
+//! Each daemon probes one member per period, in random order. A member that answers neither the probe
+//! nor the indirect probes of a few others becomes suspect; it refutes the suspicion by raising its
+//! incarnation, or is declared dead after a timeout. Updates are piggybacked on every envelope. A
+//! daemon that knows no other member asks its seeds; dead members and seeds are asked periodically,
+//! so that a zone merges again after a network partition.
 
 mod detection;
 mod joining;
@@ -22,33 +22,34 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::rotation::Rotation;
-use crate::rumors::{Budget, Rumors, next_in_turn};
-use joining::Joining;
+use crate::rumors::{Budget, Rumors, next_round_robin};
+use joining::JoinSchedule;
 use probes::Probes;
 pub use table::{MAX_MEMBERS, Member, is_live, replaces};
-use table::{MemberTable, alive, preference};
+use table::{MemberTable, alive, lease_preference};
 
-/// Durations and sizes that steer membership. The defaults are those of the settings file.
+/// Durations and sizes that configure membership. The defaults are those of the settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MembershipSettings {
     /// Time between two probes.
     pub probe_interval: Duration,
     /// Time to wait for an answer before others are asked to probe.
     pub probe_timeout: Duration,
-    /// Members asked to probe on one's behalf.
+    /// Members asked to probe indirectly.
     pub indirect_probes: usize,
-    /// Time in which a suspect may refute.
-    pub suspicion: Duration,
+    /// Time in which a suspect may refute the suspicion.
+    pub suspicion_timeout: Duration,
     /// Time for which dead and left members are remembered.
-    pub forget_after: Duration,
-    /// First pause between two asks of the seeds by a daemon that knows nobody; doubles.
+    pub dead_member_retention: Duration,
+    /// Initial backoff between join requests to the seeds by a daemon that knows no other member;
+    /// doubles.
     pub join_backoff: Duration,
-    /// Longest pause between two asks of the seeds by a daemon that knows nobody.
+    /// Maximum backoff between join requests to the seeds by a daemon that knows no other member.
     pub join_backoff_limit: Duration,
-    /// Time between two asks of a dead member or an unseen seed by a daemon that knows others.
+    /// Time between join requests to a dead member or an unseen seed by a daemon that knows others.
     pub rejoin_interval: Duration,
-    /// A gap between two ticks longer than this means that this daemon itself was paused.
-    pub pause: Duration,
+    /// A gap between two ticks longer than this means that this daemon itself was stalled.
+    pub stall_threshold: Duration,
 }
 
 impl Default for MembershipSettings {
@@ -57,38 +58,38 @@
             probe_interval: Duration::from_secs(1),
             probe_timeout: Duration::from_millis(300),
             indirect_probes: 3,
-            suspicion: Duration::from_secs(4),
-            forget_after: Duration::from_mins(10),
+            suspicion_timeout: Duration::from_secs(4),
+            dead_member_retention: Duration::from_mins(10),
             join_backoff: Duration::from_millis(500),
             join_backoff_limit: Duration::from_secs(10),
             rejoin_interval: Duration::from_secs(10),
-            pause: Duration::from_secs(1),
+            stall_threshold: Duration::from_secs(1),
         }
     }
 }
 
-/// What happened.
+/// An input of membership.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MembershipEvent {
     /// Time has passed; sent at least every 100 ms.
     Tick,
-    /// An envelope came in.
+    /// An envelope was received.
     Received {
         /// Its sender.
         from: Peer,
-        /// The facts that rode along.
+        /// The piggybacked member updates.
         members: Vec<MemberUpdate>,
         /// The message; those that are not about members are ignored.
         message: Message,
     },
 }
 
-/// What to do.
+/// An output of membership.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MembershipAction {
     /// Send a message.
     Send {
-        /// To whom.
+        /// Destination address.
         to: SocketAddr,
         /// The message.
         message: Message,
@@ -102,32 +103,32 @@
     },
 }
 
-/// The members of the zone as one daemon knows them.
+/// The members of the zone as known to one daemon.
 #[derive(Clone, Debug)]
 pub struct Membership {
     settings: MembershipSettings,
     me: Peer,
     incarnation: u64,
-    left: bool,
+    has_left: bool,
     table: MemberTable,
     /// The live members in the table without this daemon.
     others: Vec<Peer>,
     rumors: Rumors<DaemonName>,
-    repeated: Option<DaemonName>,
+    last_anti_entropy: Option<DaemonName>,
     probes: Probes,
-    probe_turn: Rotation,
-    news_turn: Rotation,
+    probe_rotation: Rotation,
+    rumor_rotation: Rotation,
     next_probe: Timestamp,
     suspects: BTreeMap<DaemonName, Timestamp>,
-    joining: Joining,
+    joining: JoinSchedule,
     last_tick: Option<Timestamp>,
     random: ChaCha8Rng,
 }
 
 impl Membership {
     /// Membership of a daemon that has just started. The incarnation should rise with each start,
-    /// such as the time of the start; if it does not, the daemon raises it when it hears of its
-    /// former self.
+    /// such as the time of the start; if it does not, the daemon raises it when it receives an
+    /// update about its previous run.
     pub fn new(
         settings: MembershipSettings,
         me: Peer,
@@ -140,18 +141,18 @@
         let mut rumors = Rumors::default();
         rumors.push(me.name.clone());
         Self {
-            joining: Joining::new(&settings, me.address, seeds),
+            joining: JoinSchedule::new(&settings, me.address, seeds),
             settings,
             me,
             incarnation,
-            left: false,
+            has_left: false,
             table,
             others: Vec::new(),
             rumors,
-            repeated: None,
+            last_anti_entropy: None,
             probes: Probes::default(),
-            probe_turn: Rotation::default(),
-            news_turn: Rotation::default(),
+            probe_rotation: Rotation::default(),
+            rumor_rotation: Rotation::default(),
             next_probe: Timestamp::ZERO,
             suspects: BTreeMap::new(),
             last_tick: None,
@@ -164,7 +165,7 @@
         &self.me
     }
 
-    /// The members that take part, this daemon included unless it has left, in the order of names.
+    /// The live members, this daemon included unless it has left, in the order of names.
     pub fn alive(&self) -> Vec<Peer> {
         self.table
             .live()
@@ -172,33 +173,33 @@
             .collect()
     }
 
-    /// The members that take part, without this daemon.
+    /// The live members, without this daemon.
     pub fn others(&self) -> Vec<Peer> {
         self.others.clone()
     }
 
-    /// Number of members that take part, this daemon included.
+    /// Number of live members, this daemon included.
     pub fn size(&self) -> usize {
         self.others.len() + 1
     }
 
-    /// Everything known about members, the dead included.
+    /// All known members, the dead included.
     pub fn members(&self) -> impl Iterator<Item = &MemberUpdate> {
         self.table.iter().map(|member| &member.update)
     }
 
-    /// One member as last heard.
+    /// The last update about one member.
     pub fn member(&self, name: &DaemonName) -> Option<&MemberUpdate> {
         self.table.get(name).map(|member| &member.update)
     }
 
-    /// Place of this daemon among the live members of its zone, by a hash of zone and name: 0 comes
-    /// first. The order of any two members never changes. A daemon that has left comes last.
+    /// Rank of this daemon among the live members of its zone, ordered by a hash of zone and name,
+    /// from 0. The relative order of two members never changes. A daemon that has left ranks last.
     pub fn rank(&self) -> usize {
-        let own = preference(&self.me.zone, &self.me.name);
+        let own = lease_preference(&self.me.zone, &self.me.name);
         self.others
             .iter()
-            .filter(|peer| self.left || preference(&self.me.zone, &peer.name) < own)
+            .filter(|peer| self.has_left || lease_preference(&self.me.zone, &peer.name) < own)
             .count()
     }
 
@@ -216,28 +217,28 @@
         actions
     }
 
-    /// Tells everyone that this daemon stops as planned; the news rides on what is sent from now on.
+    /// Announces the planned stop of this daemon; the update is piggybacked on further messages.
     pub fn leave(&mut self, now: Timestamp) -> Vec<MembershipAction> {
         let mut actions = Vec::new();
-        if !self.left {
-            self.left = true;
+        if !self.has_left {
+            self.has_left = true;
             let update = MemberUpdate {
                 peer: self.me.clone(),
                 incarnation: self.incarnation,
                 state: MemberState::Left,
             };
-            self.adopt(&update, now, &mut actions);
+            self.apply_own_update(&update, now, &mut actions);
         }
         actions
     }
 
-    /// Number of facts about members on their way.
-    pub fn news(&self) -> usize {
+    /// Number of member updates still to be disseminated.
+    pub fn pending_rumors(&self) -> usize {
         self.rumors.len()
     }
 
-    /// Picks facts for an envelope to `to`: first what the receiver must know about itself to
-    /// refute it, then news, each `limit` times in all.
+    /// Selects updates for an envelope to `to`: first any update about the receiver itself that it
+    /// may have to refute, then pending rumors, each sent `limit` times in total.
     pub fn updates_to_piggyback(
         &mut self,
         to: SocketAddr,
@@ -246,7 +247,7 @@
     ) -> Vec<MemberUpdate> {
         let receiver = self
             .table
-            .at(to)
+            .at_address(to)
             .filter(|member| member.update.state != MemberState::Alive)
             .map(|member| member.update.clone())
             .filter(|update| budget.take(update));
@@ -262,16 +263,16 @@
         updates
     }
 
-    /// The next fact in turn, whether it is news or not: repairs what rumors missed. Only live
-    /// members are repeated, or forgetting the dead would never end.
-    pub fn repeat(&mut self) -> Option<MemberUpdate> {
-        let next = next_in_turn(self.table.facts(), self.repeated.as_ref())?;
-        self.repeated = Some(next.clone());
+    /// The next update in round-robin order, for anti-entropy: repairs updates that rumors missed.
+    /// Only live members are sent; otherwise dead members would never be purged everywhere.
+    pub fn next_for_anti_entropy(&mut self) -> Option<MemberUpdate> {
+        let next = next_round_robin(self.table.by_name(), self.last_anti_entropy.as_ref())?;
+        self.last_anti_entropy = Some(next.clone());
         let member = self.table.get(&next)?;
         member.is_live().then(|| member.update.clone())
     }
 
-    /// The fact about this daemon itself, for envelopes to strangers.
+    /// The update about this daemon itself, for envelopes to daemons that may not know it.
     pub fn own_update(&self) -> MemberUpdate {
         self.table.get(&self.me.name).map_or_else(
             || alive(self.me.clone(), self.incarnation),
@@ -279,9 +280,9 @@
         )
     }
 
-    /// The next `count` members to be sent news, without this daemon.
-    pub fn next_for_news(&mut self, count: usize) -> Vec<Peer> {
-        self.news_turn
+    /// The next `count` members to send rumors to, without this daemon.
+    pub fn next_rumor_targets(&mut self, count: usize) -> Vec<Peer> {
+        self.rumor_rotation
             .next_few(count, &self.others, &mut self.random)
     }
 }
--- a/crates/control/src/membership/probes.rs
+++ b/crates/control/src/membership/probes.rs
@@ -1,22 +1,22 @@
-//! Which probes wait for an answer, and which are made on another's behalf.
+//! Probes awaiting an answer, including those relayed for other members.
 
 use std::collections::BTreeMap;
 
 use flaxward_types::{DaemonName, Timestamp};
 use flaxward_wire::Peer;
 
-/// Most probes made for others at one time; more are not made.
+/// Maximum number of concurrent probes relayed for others; requests beyond it are dropped.
 const MAX_RELAYED: usize = 256;
 
 /// The probe of the current period.
 #[derive(Clone, Debug)]
 pub struct Probe {
-    /// Comes back in the answer.
+    /// Echoed in the answer.
     pub sequence: u64,
-    /// Who is probed.
+    /// The member probed.
     pub target: Peer,
-    /// When it began.
-    pub began: Timestamp,
+    /// When it was started.
+    pub started_at: Timestamp,
     /// Whether others were asked to probe as well.
     pub indirect: bool,
     /// Whether it was answered.
@@ -25,10 +25,10 @@
 
 /// A probe made for another member.
 #[derive(Clone, Debug)]
-struct Relayed {
-    asker: Peer,
+struct RelayedProbe {
+    requester: Peer,
     sequence: u64,
-    began: Timestamp,
+    started_at: Timestamp,
 }
 
 /// The probes of one daemon.
@@ -37,7 +37,7 @@
     sequence: u64,
     /// The probe of the current period.
     pub current: Option<Probe>,
-    relayed: BTreeMap<u64, Relayed>,
+    relayed: BTreeMap<u64, RelayedProbe>,
 }
 
 impl Probes {
@@ -47,8 +47,8 @@
         self.sequence
     }
 
-    /// Notes an answer. The name is compared as well: another daemon may have taken over the
-    /// address, and a former start of this one used the same sequences.
+    /// Records an answer. The name is compared as well: another daemon may have taken over the
+    /// address, and a previous run of this daemon used the same sequence numbers.
     pub fn answered(&mut self, sequence: u64, target: &DaemonName) {
         if let Some(probe) = &mut self.current
             && probe.sequence == sequence
@@ -58,30 +58,33 @@
         }
     }
 
-    /// Begins a probe on behalf of `asker` and returns its sequence.
-    pub fn relay(&mut self, asker: Peer, sequence: u64, now: Timestamp) -> Option<u64> {
+    /// Registers a probe relayed for `requester` and returns its sequence number, unless too many are
+    /// outstanding.
+    pub fn relay(&mut self, requester: Peer, sequence: u64, now: Timestamp) -> Option<u64> {
         if self.relayed.len() >= MAX_RELAYED {
             return None;
         }
         let own = self.next_sequence();
-        let relayed = Relayed {
-            asker,
+        let relayed = RelayedProbe {
+            requester,
             sequence,
-            began: now,
+            started_at: now,
         };
         self.relayed.insert(own, relayed);
         Some(own)
     }
 
-    /// The asker and its sequence, if an answer belongs to a probe made for another.
-    pub fn relayed(&mut self, sequence: u64) -> Option<(Peer, u64)> {
+    /// Removes the relayed probe that an answer belongs to, and returns its requester and sequence
+    /// number.
+    pub fn take_relayed(&mut self, sequence: u64) -> Option<(Peer, u64)> {
         self.relayed
             .remove(&sequence)
-            .map(|relayed| (relayed.asker, relayed.sequence))
+            .map(|relayed| (relayed.requester, relayed.sequence))
     }
 
-    /// Gives up probes made for others that began before `limit`.
+    /// Drops relayed probes that were started before `limit`.
     pub fn expire_before(&mut self, limit: Timestamp) {
-        self.relayed.retain(|_, relayed| relayed.began >= limit);
+        self.relayed
+            .retain(|_, relayed| relayed.started_at >= limit);
     }
 }
--- a/crates/control/src/membership/table.rs
+++ b/crates/control/src/membership/table.rs
@@ -1,4 +1,4 @@
-//! The members of one zone and which fact about a member replaces which.
+//! The members of one zone, and the precedence of updates about a member.
 
 use std::collections::BTreeMap;
 
@@ -6,32 +6,32 @@
 use flaxward_wire::{MemberState, MemberUpdate, Peer};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Most members kept of one zone; facts about more are ignored.
+/// Maximum number of members of a zone; updates about further members are ignored.
 pub const MAX_MEMBERS: usize = 1_024;
 
 /// One member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// The last fact about it.
+    /// The update in effect.
     pub update: MemberUpdate,
-    /// When the fact came in.
-    pub since: Timestamp,
+    /// When the update was applied.
+    pub updated_at: Timestamp,
 }
 
 impl Member {
-    /// Whether it takes part: a suspect still does.
+    /// Whether it is live; a suspect still is.
     pub fn is_live(&self) -> bool {
         is_live(self.update.state)
     }
 }
 
-/// Whether a member in this state takes part.
+/// Whether a member in this state counts as live.
 pub fn is_live(state: MemberState) -> bool {
     matches!(state, MemberState::Alive | MemberState::Suspect)
 }
 
-/// Whether a fact replaces another one about the same member: the higher incarnation, then the
-/// worse state, then (between two daemons that were given one name) the higher address.
+/// Whether an update supersedes another one about the same member: by higher incarnation, then worse
+/// state, then (between two daemons configured with the same name) higher address.
 pub fn replaces(new: &MemberUpdate, old: &MemberUpdate) -> bool {
     rank(new) > rank(old)
 }
@@ -40,7 +40,7 @@
     (update.incarnation, update.state, update.peer.address)
 }
 
-/// Every member known, the daemon itself included.
+/// All known members, the daemon itself included.
 #[derive(Clone, Debug, Default)]
 pub struct MemberTable {
     members: BTreeMap<DaemonName, Member>,
@@ -52,37 +52,40 @@
         self.members.get(name)
     }
 
-    /// All of them, in the order of their names.
+    /// All members, in the order of their names.
     pub fn iter(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
-    /// The facts by name.
-    pub fn facts(&self) -> &BTreeMap<DaemonName, Member> {
+    /// All members by name.
+    pub fn by_name(&self) -> &BTreeMap<DaemonName, Member> {
         &self.members
     }
 
-    /// The members that take part.
+    /// The live members.
     pub fn live(&self) -> impl Iterator<Item = &Member> {
         self.iter().filter(|member| member.is_live())
     }
 
     /// The member that listens at an address; a live one if a dead one had the address before.
-    pub fn at(&self, address: std::net::SocketAddr) -> Option<&Member> {
+    pub fn at_address(&self, address: std::net::SocketAddr) -> Option<&Member> {
         self.iter()
             .filter(|member| member.update.peer.address == address)
             .max_by_key(|member| member.is_live())
     }
 
-    /// Takes over a fact without asking.
+    /// Applies an update unconditionally.
     pub fn insert(&mut self, update: MemberUpdate, now: Timestamp) {
         let name = update.peer.name.clone();
-        let member = Member { update, since: now };
+        let member = Member {
+            update,
+            updated_at: now,
+        };
         self.members.insert(name, member);
     }
 
-    /// Takes over a fact if it replaces the one known. A dead or left member that is not known is
-    /// not taken in, or forgetting the dead would never end.
+    /// Applies an update if it supersedes the one known. An unknown member that is dead or has left
+    /// is not added; otherwise dead members would never be purged everywhere.
     pub fn merge(&mut self, update: &MemberUpdate, now: Timestamp) -> bool {
         let accepted = match self.members.get(&update.peer.name) {
             Some(known) => replaces(update, &known.update),
@@ -94,29 +97,29 @@
         accepted
     }
 
-    /// Forgets members that have been dead or gone since before `limit`, and returns them.
-    pub fn forget_before(&mut self, limit: Timestamp) -> Vec<DaemonName> {
-        let forgotten: Vec<DaemonName> = self
+    /// Removes members that have been dead or left since before `limit`, and returns them.
+    pub fn remove_expired(&mut self, limit: Timestamp) -> Vec<DaemonName> {
+        let removed: Vec<DaemonName> = self
             .members
             .iter()
-            .filter(|(_, member)| !member.is_live() && member.since < limit)
+            .filter(|(_, member)| !member.is_live() && member.updated_at < limit)
             .map(|(name, _)| name.clone())
             .collect();
-        for name in &forgotten {
+        for name in &removed {
             self.members.remove(name);
         }
-        forgotten
+        removed
     }
 }
 
-/// Order of preference of a daemon for its zone's lease; lower goes first. It depends on the names
-/// alone, so it stays the same while other members come and go.
-pub fn preference(zone: &ZoneName, name: &DaemonName) -> (u64, DaemonName) {
+/// Sort key of a daemon in the preference for its zone's lease; the lowest is preferred. It depends only
+/// on the names, so the order does not change when other members join or leave.
+pub fn lease_preference(zone: &ZoneName, name: &DaemonName) -> (u64, DaemonName) {
     let digest = xxh3_64(format!("{zone}/{name}").as_bytes());
     (digest, name.clone())
 }
 
-/// The fact that a peer is alive.
+/// An update that declares a peer alive.
 pub fn alive(peer: Peer, incarnation: u64) -> MemberUpdate {
     MemberUpdate {
         peer,
--- a/crates/control/src/node/interface.rs
+++ b/crates/control/src/node/interface.rs
@@ -1,4 +1,4 @@
-//! What a node is told and what it asks for.
+//! Events and actions of a node.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -14,52 +14,52 @@
 use crate::configuration::Configuration;
 use crate::coordinator::{CoordinatorAction, CoordinatorEvent, Decision};
 
-/// What happened.
+/// An input of a node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum NodeEvent {
     /// Time has passed; sent at least every 50 ms.
     Tick,
-    /// Another daemon sent something.
+    /// An envelope from another daemon was received.
     Received(Box<Envelope>),
     /// The platform answered an operation of [`NodeAction::Platform`].
     Answered(CoordinatorEvent),
-    /// The gateway wants something of a zone's coordinator.
+    /// The gateway has demands for a zone's coordinator.
     Demands(ZoneName, Vec<Demand>),
-    /// A watch of the store has shown changes of configuration.
-    Learnt(ConfigurationDelta),
+    /// A watch of the store delivered configuration changes.
+    Watched(ConfigurationDelta),
     /// The configuration was listed from the store.
     Listed(ConfigurationSnapshot),
     /// The machine list was read.
     Machines(Vec<Machine>),
-    /// The runners that this daemon observes have news.
+    /// The observer of this daemon has reports on runners.
     Observed(Vec<RunnerReport>),
-    /// A planned stop begins: the gateway takes no new request and lets the others finish.
+    /// A planned stop begins: the gateway accepts no new requests and finishes those in progress.
     Stop,
-    /// The gateway has no request left.
+    /// The gateway has no requests left.
     Drained,
 }
 
-/// What to do.
+/// An output of a node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum NodeAction {
     /// Send an envelope to another daemon.
     Send(SocketAddr, Envelope),
     /// Carry out an operation on the object API or on a runner.
     Platform(CoordinatorAction),
-    /// Tell the gateway how artifacts stand.
+    /// Send routes of artifacts to the gateway.
     Routes(Vec<RouteAnswer>),
-    /// Tell the gateway that answers which it holds still hold.
+    /// Confirm to the gateway that routes which it has are still valid.
     RoutesHeld(HeldAnswers),
-    /// Tell the gateway which zones have a coordinator that can be asked.
+    /// Tell the gateway which zones have a reachable coordinator.
     Heads(BTreeSet<ZoneName>),
     /// Tell the gateway which runners take no new work.
     Leaving(BTreeSet<RunnerName>),
     /// Tell the gateway which machines run plain services.
     Services(Vec<Machine>),
-    /// This configuration is in force.
+    /// Another configuration is in force.
     Configuration(Arc<Configuration>),
-    /// Read the platform's lists, or stop reading them.
-    Reading(bool),
+    /// Start or stop reading the platform's lists.
+    ReadLists(bool),
     /// Observe these runners.
     Observe(Vec<Machine>),
     /// List the configuration again: changes are missing.
@@ -68,12 +68,12 @@
     Lead(Term),
     /// This daemon no longer coordinates its zone.
     Resign,
-    /// The gateway is drained and the lease handed back: the daemon may exit.
+    /// The gateway is drained and the lease released: the daemon may exit.
     Stopped,
-    /// Note a decision in the log.
+    /// Record a decision in the log.
     Record(Decision),
-    /// Another daemon wants a view; answer it with this sequence.
+    /// Another daemon requested a view; reply with this sequence number.
     ViewWanted(Peer, u64, View),
-    /// Another daemon has answered a view.
+    /// Another daemon replied to a view request.
     ViewRows(Peer, u64, String),
 }
--- a/crates/control/src/node/machines.rs
+++ b/crates/control/src/node/machines.rs
@@ -1,4 +1,4 @@
-//! The machines that a daemon knows, from the machine list or from its coordinator.
+//! The machines known to a daemon, from the machine list or from its coordinator.
 
 use std::collections::BTreeSet;
 
@@ -15,7 +15,7 @@
 }
 
 impl Machines {
-    /// Takes over a machine list as read by this daemon. Returns whether anything changed.
+    /// Applies a machine list read by this daemon. Returns whether anything changed.
     pub fn replace(&mut self, zone: &ZoneName, machines: Vec<Machine>) -> bool {
         let (services, engines): (Vec<_>, Vec<_>) = machines
             .into_iter()
@@ -30,8 +30,7 @@
         changed
     }
 
-    /// Takes over a coordinator's snapshot, unless a later one is known. Returns whether it was
-    /// taken.
+    /// Applies a coordinator's snapshot, unless a later one is known. Returns whether it was applied.
     pub fn receive(&mut self, snapshot: MachineSnapshot) -> bool {
         let number = (snapshot.term, snapshot.sequence);
         if number <= self.received {
--- a/crates/control/src/node/mod.rs
+++ b/crates/control/src/node/mod.rs
@@ -1,11 +1,11 @@
-//! One daemon without its sockets: gossip, the candidate for coordinator, and what joins them.
+//! One daemon without its sockets: connects gossip and the candidate for coordinator.
 //!
-//! A daemon, a property test and the hollow fleet all run this same machine.
+//! Daemons, property tests and the simulated fleet all run this state machine.
 
+mod assignment;
 mod interface;
 mod machines;
 mod replies;
-mod share;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -20,18 +20,18 @@
 use crate::coordinator::{Coordinator, CoordinatorAction, CoordinatorEvent};
 use crate::gossip::{Gossip, GossipAction, GossipEvent};
 
+pub use assignment::assigned_runners;
 pub use interface::{NodeAction, NodeEvent};
 pub use machines::Machines;
-pub use share::share;
 
 use replies::Replies;
 
-/// Time between two sendings of a machine snapshot that has not changed.
-const MACHINES_RENEWAL: Duration = Duration::from_secs(10);
+/// Time between two sends of an unchanged machine snapshot.
+const MACHINE_SNAPSHOT_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Daemons that rank below this read the platform's lists, as the coordinator does at any rank: they
-/// take the lease next.
-const READING_RANKS: usize = 2;
+/// Daemons with a rank below this read the platform's lists, since they are next in line for the
+/// lease. The coordinator reads them at any rank.
+const LIST_READER_RANKS: usize = 2;
 
 /// A daemon without its sockets.
 #[derive(Debug)]
@@ -42,34 +42,34 @@
     machines: Machines,
     peers: BTreeMap<DaemonName, Peer>,
     replies: Replies,
-    /// Runners whose engines say that they are leaving.
-    engine_reports: BTreeSet<RunnerName>,
+    /// Runners whose engines report that they are leaving.
+    leaving_engines: BTreeSet<RunnerName>,
     machines_sequence: u64,
-    machines_sent: Option<Timestamp>,
-    told: Told,
-    stop: Stop,
+    machines_sent_at: Option<Timestamp>,
+    published: Published,
+    stop: StopProgress,
     actions: Vec<NodeAction>,
     now: Timestamp,
 }
 
-/// What was last told to the outside, so that only changes are told.
+/// The outputs last published, so that only changes are published.
 #[derive(Debug, Default)]
-struct Told {
+struct Published {
     started: bool,
     reading: bool,
     heads: BTreeSet<ZoneName>,
     leaving: BTreeSet<RunnerName>,
-    share: Vec<Machine>,
+    assigned: Vec<Machine>,
 }
 
-/// How far a planned stop is.
+/// Progress of a planned stop.
 #[derive(Debug, Default)]
-struct Stop {
-    /// The coordinator was told to hand its lease back.
-    handing_back: bool,
-    /// The lease is handed back, or was not held.
-    handed_back: bool,
-    /// The gateway has no request left.
+struct StopProgress {
+    /// The coordinator was asked to release its lease.
+    releasing_lease: bool,
+    /// The lease is released, or was not held.
+    lease_released: bool,
+    /// The gateway has no requests left.
     drained: bool,
 }
 
@@ -83,22 +83,22 @@
             machines: Machines::default(),
             peers: BTreeMap::new(),
             replies: Replies::default(),
-            engine_reports: BTreeSet::new(),
+            leaving_engines: BTreeSet::new(),
             machines_sequence: 0,
-            machines_sent: None,
-            told: Told::default(),
-            stop: Stop::default(),
+            machines_sent_at: None,
+            published: Published::default(),
+            stop: StopProgress::default(),
             actions: Vec::new(),
             now: Timestamp::ZERO,
         }
     }
 
-    /// Takes in one event and returns what to do.
+    /// Handles one event and returns the actions to carry out.
     pub fn handle(&mut self, event: NodeEvent, now: Timestamp) -> Vec<NodeAction> {
         self.now = now;
-        if !self.told.started {
-            // A daemon that is alone in its zone hears of no change of members.
-            self.told.started = true;
+        if !self.published.started {
+            // A daemon that is alone in its zone gets no change of members.
+            self.published.started = true;
             self.members_changed();
         }
         match event {
@@ -106,14 +106,14 @@
             NodeEvent::Received(envelope) => {
                 self.peers
                     .insert(envelope.from.name.clone(), envelope.from.clone());
-                self.gossip(GossipEvent::Received(*envelope));
+                self.step_gossip(GossipEvent::Received(*envelope));
             }
-            NodeEvent::Answered(event) => self.coordinate(event),
-            NodeEvent::Demands(zone, demands) => self.demand(&zone, demands),
-            NodeEvent::Learnt(delta) => self.gossip(GossipEvent::Learnt(delta)),
-            NodeEvent::Listed(snapshot) => self.gossip(GossipEvent::Listed(snapshot)),
+            NodeEvent::Answered(event) => self.step_coordinator(event),
+            NodeEvent::Demands(zone, demands) => self.forward_demands(&zone, demands),
+            NodeEvent::Watched(delta) => self.step_gossip(GossipEvent::Watched(delta)),
+            NodeEvent::Listed(snapshot) => self.step_gossip(GossipEvent::Listed(snapshot)),
             NodeEvent::Machines(machines) => self.machines_read(machines),
-            NodeEvent::Observed(reports) => self.observed(reports),
+            NodeEvent::Observed(reports) => self.forward_reports(reports),
             NodeEvent::Stop => self.stop(),
             NodeEvent::Drained => self.drained(),
         }
@@ -121,32 +121,32 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Begins a planned stop. With another member in the zone the lease is handed over at once;
-    /// without one, this daemon goes on coordinating for its own waiting requests.
+    /// Begins a planned stop. With another member in the zone the lease is released immediately;
+    /// without one, this daemon keeps coordinating for its own waiting requests.
     fn stop(&mut self) {
         if !self.gossip.membership().others().is_empty() {
-            self.hand_back();
+            self.release_lease();
         }
     }
 
-    /// Ends a planned stop. The others hear only now that this daemon leaves: they forget the
-    /// demand of a gateway that has left.
+    /// Ends a planned stop. Only now is the leave announced, because other daemons discard the demands
+    /// of a gateway that has left.
     fn drained(&mut self) {
         self.stop.drained = true;
-        self.hand_back();
-        self.gossip(GossipEvent::Leave);
+        self.release_lease();
+        self.step_gossip(GossipEvent::Leave);
         self.finish_stop();
     }
 
-    fn hand_back(&mut self) {
-        if !self.stop.handing_back {
-            self.stop.handing_back = true;
-            self.coordinate(CoordinatorEvent::Stop);
+    fn release_lease(&mut self) {
+        if !self.stop.releasing_lease {
+            self.stop.releasing_lease = true;
+            self.step_coordinator(CoordinatorEvent::Stop);
         }
     }
 
     fn finish_stop(&mut self) {
-        if self.stop.drained && self.stop.handed_back {
+        if self.stop.drained && self.stop.lease_released {
             self.actions.push(NodeAction::Stopped);
         }
     }
@@ -189,7 +189,7 @@
             .collect()
     }
 
-    /// An envelope with a message for another daemon and the facts that are news to it.
+    /// Wraps a message for another daemon in an envelope with piggybacked facts.
     pub fn wrap(&mut self, to: &Peer, message: Message) -> NodeAction {
         NodeAction::Send(to.address, self.gossip.wrap(to, message))
     }
@@ -200,19 +200,19 @@
     }
 
     fn tick(&mut self) {
-        self.gossip(GossipEvent::Tick);
-        self.coordinate(CoordinatorEvent::Tick);
-        self.renew_machines();
+        self.step_gossip(GossipEvent::Tick);
+        self.step_coordinator(CoordinatorEvent::Tick);
+        self.send_machine_snapshot();
     }
 
-    /// Hands an event to gossip and carries out what it asks for.
-    fn gossip(&mut self, event: GossipEvent) {
+    /// Passes an event to gossip and carries out its actions.
+    fn step_gossip(&mut self, event: GossipEvent) {
         for action in self.gossip.handle(event, self.now) {
             match action {
                 GossipAction::Send(to, envelope) => {
                     self.actions.push(NodeAction::Send(to, envelope));
                 }
-                GossipAction::Deliver(peer, message) => self.delivered(&peer, message),
+                GossipAction::Deliver(peer, message) => self.handle_message(&peer, message),
                 GossipAction::ConfigurationChanged => {
                     self.actions
                         .push(NodeAction::Configuration(self.configuration()));
@@ -226,11 +226,11 @@
         }
     }
 
-    fn delivered(&mut self, from: &Peer, message: Message) {
+    fn handle_message(&mut self, from: &Peer, message: Message) {
         match message {
             Message::Demands(demands) => {
                 for demand in demands {
-                    self.coordinate(CoordinatorEvent::Demanded(from.name.clone(), demand));
+                    self.step_coordinator(CoordinatorEvent::Demanded(from.name.clone(), demand));
                 }
             }
             Message::Routes(answers) => self.actions.push(NodeAction::Routes(answers)),
@@ -241,7 +241,7 @@
                     self.machines_changed();
                 }
             }
-            Message::Reports(reports) => self.reported(reports),
+            Message::Reports(reports) => self.apply_reports(reports),
             Message::ViewWanted { sequence, view } => {
                 self.actions
                     .push(NodeAction::ViewWanted(from.clone(), sequence, view));
@@ -250,31 +250,31 @@
                 self.actions
                     .push(NodeAction::ViewRows(from.clone(), sequence, rows));
             }
-            // Gossip has taken in all the others.
+            // Gossip handles all other messages.
             _ => {}
         }
     }
 
-    /// Reads the platform's lists or stops. A coordinator goes on to lead, and so to read, when daemons
-    /// that rank before it join later.
-    fn update_reading(&mut self) {
+    /// Starts or stops reading the platform's lists. A coordinator keeps leading, and so reading, when
+    /// daemons that rank before it join later.
+    fn update_list_reading(&mut self) {
         let rank = self.gossip.membership().rank();
-        let reading = rank < READING_RANKS || self.leading().is_some();
-        if self.told.reading != reading {
-            self.told.reading = reading;
-            self.actions.push(NodeAction::Reading(reading));
+        let reading = rank < LIST_READER_RANKS || self.leading().is_some();
+        if self.published.reading != reading {
+            self.published.reading = reading;
+            self.actions.push(NodeAction::ReadLists(reading));
         }
     }
 
     fn members_changed(&mut self) {
-        self.coordinate(CoordinatorEvent::Rank(self.gossip.membership().rank()));
-        self.update_reading();
+        self.step_coordinator(CoordinatorEvent::Rank(self.gossip.membership().rank()));
+        self.update_list_reading();
         for gone in self.gone_members() {
-            self.coordinate(CoordinatorEvent::GatewayGone(gone));
+            self.step_coordinator(CoordinatorEvent::GatewayGone(gone));
         }
         self.heads_changed();
-        self.share_changed();
-        self.machines_sent = None;
+        self.update_assignment();
+        self.machines_sent_at = None;
     }
 
     fn gone_members(&self) -> Vec<DaemonName> {
@@ -293,34 +293,34 @@
             .into_iter()
             .map(|coordinator| coordinator.zone)
             .collect();
-        if self.told.heads != zones {
-            self.told.heads.clone_from(&zones);
+        if self.published.heads != zones {
+            self.published.heads.clone_from(&zones);
             self.actions.push(NodeAction::Heads(zones));
         }
     }
 
-    /// Works out which runners this daemon observes.
-    fn share_changed(&mut self) {
+    /// Recomputes which runners this daemon observes.
+    fn update_assignment(&mut self) {
         let members = self.gossip.membership().alive();
-        let share = share(&self.me.name, &members, self.machines.engines());
-        if self.told.share != share {
-            self.told.share.clone_from(&share);
-            self.actions.push(NodeAction::Observe(share));
+        let assigned = assigned_runners(&self.me.name, &members, self.machines.engines());
+        if self.published.assigned != assigned {
+            self.published.assigned.clone_from(&assigned);
+            self.actions.push(NodeAction::Observe(assigned));
         }
     }
 
-    /// Passes on what this daemon observed to the coordinator of its zone.
-    fn observed(&mut self, reports: Vec<RunnerReport>) {
+    /// Forwards this daemon's runner reports to the coordinator of its zone.
+    fn forward_reports(&mut self, reports: Vec<RunnerReport>) {
         let zone = self.me.zone.clone();
         match self.gossip.coordinator(&zone) {
-            Some(coordinator) if coordinator.name == self.me.name => self.reported(reports),
+            Some(coordinator) if coordinator.name == self.me.name => self.apply_reports(reports),
             Some(coordinator) => self.send(&coordinator, Message::Reports(reports)),
-            // Reports are sent again.
+            // Dropped: the observer sends reports again.
             None => {}
         }
     }
 
-    fn reported(&mut self, reports: Vec<RunnerReport>) {
+    fn apply_reports(&mut self, reports: Vec<RunnerReport>) {
         for report in reports {
             let RunnerReport {
                 runner,
@@ -328,47 +328,47 @@
                 inventory,
             } = report;
             match load {
-                Some(load) => self.load_reported(runner.clone(), load),
-                None => self.coordinate(CoordinatorEvent::RunnerSilent(runner.clone())),
+                Some(load) => self.apply_load_report(runner.clone(), load),
+                None => self.step_coordinator(CoordinatorEvent::RunnerSilent(runner.clone())),
             }
             match inventory {
                 InventoryNews::Unread => {}
                 InventoryNews::Same(version) => {
-                    self.coordinate(CoordinatorEvent::InventoryHolds(runner, version));
+                    self.step_coordinator(CoordinatorEvent::InventoryHolds(runner, version));
                 }
                 InventoryNews::Changed(inventory) => {
                     let inventory = Ok(inventory);
-                    self.coordinate(CoordinatorEvent::InventoryRead { runner, inventory });
+                    self.step_coordinator(CoordinatorEvent::InventoryRead { runner, inventory });
                 }
             }
         }
     }
 
-    fn load_reported(&mut self, runner: RunnerName, load: LoadReport) {
+    fn apply_load_report(&mut self, runner: RunnerName, load: LoadReport) {
         if load.leaving {
-            // Read more often than the inventories, which alone can take it back: a report may have
-            // been overtaken.
-            self.engine_reported(runner.clone(), true);
+            // Loads are read more often than inventories. Only an inventory can clear this, since load
+            // reports may arrive out of order.
+            self.set_engine_leaving(runner.clone(), true);
         }
-        self.coordinate(CoordinatorEvent::LoadReported(runner, load));
+        self.step_coordinator(CoordinatorEvent::LoadReported(runner, load));
     }
 
-    /// Hands an event to the coordinator and carries out what it asks for.
-    fn coordinate(&mut self, event: CoordinatorEvent) {
+    /// Passes an event to the coordinator and carries out its actions.
+    fn step_coordinator(&mut self, event: CoordinatorEvent) {
         if let CoordinatorEvent::InventoryRead {
             runner,
             inventory: Ok(inventory),
         } = &event
         {
-            self.engine_reported(runner.clone(), inventory.leaving);
+            self.set_engine_leaving(runner.clone(), inventory.leaving);
         }
         let configuration = self.configuration();
         for action in self.coordinator.handle(event, self.now, &configuration) {
-            self.act(action);
+            self.apply_coordinator_action(action);
         }
     }
 
-    fn act(&mut self, action: CoordinatorAction) {
+    fn apply_coordinator_action(&mut self, action: CoordinatorAction) {
         match action {
             CoordinatorAction::Answer(daemon, answer) => {
                 self.replies.answer(daemon, answer);
@@ -376,14 +376,14 @@
             CoordinatorAction::Confirm(daemon, version) => {
                 self.replies.confirm(daemon, version);
             }
-            CoordinatorAction::Lead(term) => self.lead(term),
+            CoordinatorAction::Lead(term) => self.become_coordinator(term),
             CoordinatorAction::Resign => {
-                self.gossip(GossipEvent::Resign);
+                self.step_gossip(GossipEvent::Resign);
                 self.actions.push(NodeAction::Resign);
-                self.update_reading();
+                self.update_list_reading();
             }
             CoordinatorAction::Stopped => {
-                self.stop.handed_back = true;
+                self.stop.lease_released = true;
                 self.finish_stop();
             }
             CoordinatorAction::Record(decision) => {
@@ -393,17 +393,17 @@
         }
     }
 
-    fn lead(&mut self, term: Term) {
+    fn become_coordinator(&mut self, term: Term) {
         self.actions.push(NodeAction::Lead(term));
-        self.update_reading();
-        self.gossip(GossipEvent::Lead(term));
-        self.machines_sent = None;
+        self.update_list_reading();
+        self.step_gossip(GossipEvent::Lead(term));
+        self.machines_sent_at = None;
         self.leaving_changed();
     }
 
-    fn demand(&mut self, zone: &ZoneName, demands: Vec<Demand>) {
+    fn forward_demands(&mut self, zone: &ZoneName, demands: Vec<Demand>) {
         let Some(coordinator) = self.gossip.coordinator(zone) else {
-            // The gateway asks again, and refuses its requests after a while.
+            // The gateway retries, and refuses its requests after a timeout.
             return;
         };
         if coordinator.name != self.me.name {
@@ -411,90 +411,90 @@
             return;
         }
         for demand in demands {
-            self.coordinate(CoordinatorEvent::Demanded(coordinator.name.clone(), demand));
+            self.step_coordinator(CoordinatorEvent::Demanded(coordinator.name.clone(), demand));
         }
     }
 
     fn machines_read(&mut self, machines: Vec<Machine>) {
         let zone = self.me.zone.clone();
         if self.machines.replace(&zone, machines) {
-            self.machines_sent = None;
+            self.machines_sent_at = None;
             self.machines_changed();
         }
-        self.gossip(GossipEvent::Machines(self.machines.names()));
+        self.step_gossip(GossipEvent::Machines(self.machines.names()));
         if self.leading().is_some() {
-            self.mark_all();
+            self.mark_all_machines();
         }
         let engines = self.machines.engines().to_vec();
-        self.coordinate(CoordinatorEvent::Machines(engines));
+        self.step_coordinator(CoordinatorEvent::Machines(engines));
     }
 
     fn machines_changed(&mut self) {
         let services = self.machines.services().to_vec();
         self.actions.push(NodeAction::Services(services));
         let known = self.machines.names();
-        self.engine_reports.retain(|runner| known.contains(runner));
-        self.share_changed();
+        self.leaving_engines.retain(|runner| known.contains(runner));
+        self.update_assignment();
         self.leaving_changed();
     }
 
-    fn engine_reported(&mut self, runner: RunnerName, leaving: bool) {
+    fn set_engine_leaving(&mut self, runner: RunnerName, leaving: bool) {
         let changed = if leaving {
-            self.engine_reports.insert(runner)
+            self.leaving_engines.insert(runner)
         } else {
-            self.engine_reports.remove(&runner)
+            self.leaving_engines.remove(&runner)
         };
         if changed {
             self.leaving_changed();
         }
     }
 
-    /// Works out which runners take no new work, and tells the gateway and, as the coordinator,
-    /// the other daemons.
+    /// Recomputes which runners take no new work, and publishes them to the gateway and, as the
+    /// coordinator, to the other daemons.
     fn leaving_changed(&mut self) {
         let mut leaving = self.observed_leaving();
         if self.leading().is_some() {
-            self.mark(&leaving);
+            self.update_marks(&leaving);
         }
         leaving.extend(self.configuration().drained());
         leaving.extend(self.gossip.marks().leaving());
-        if self.told.leaving != leaving {
-            self.told.leaving.clone_from(&leaving);
+        if self.published.leaving != leaving {
+            self.published.leaving.clone_from(&leaving);
             self.actions.push(NodeAction::Leaving(leaving));
         }
     }
 
-    /// Says of every machine of this zone whether it leaves, as its coordinator, and so also takes
+    /// As coordinator, records for every machine of this zone whether it is leaving. This also takes
     /// over the marks of a coordinator that has died.
-    fn mark_all(&mut self) {
+    fn mark_all_machines(&mut self) {
         let leaving = self.observed_leaving();
         for runner in self.machines.names() {
             let leaving = leaving.contains(&runner);
-            self.gossip(GossipEvent::Runner { runner, leaving });
+            self.step_gossip(GossipEvent::Runner { runner, leaving });
         }
     }
 
-    /// Runners that the machine list or their engines say are leaving. Drained ones are not among them:
-    /// every daemon knows them from the configuration, and a mark could outlive its drain if all
-    /// daemons of its zone were down when the drain ended.
+    /// Runners that are leaving according to the machine list or their engines. Drained runners are
+    /// not included: every daemon knows them from the configuration, and a mark could outlive its
+    /// drain if all daemons of its zone were down when the drain ended.
     fn observed_leaving(&self) -> BTreeSet<RunnerName> {
         let mut leaving = self.machines.leaving();
-        leaving.extend(self.engine_reports.iter().cloned());
+        leaving.extend(self.leaving_engines.iter().cloned());
         leaving
     }
 
-    /// Spreads this zone's marks, as its coordinator.
-    fn mark(&mut self, leaving: &BTreeSet<RunnerName>) {
+    /// As coordinator, sets and clears the marks of this zone.
+    fn update_marks(&mut self, leaving: &BTreeSet<RunnerName>) {
         let marked = self.gossip.marks().leaving();
         for runner in leaving.difference(&marked) {
-            self.gossip(GossipEvent::Runner {
+            self.step_gossip(GossipEvent::Runner {
                 runner: runner.clone(),
                 leaving: true,
             });
         }
         for runner in marked.difference(leaving) {
             if self.machines.is_known(runner) {
-                self.gossip(GossipEvent::Runner {
+                self.step_gossip(GossipEvent::Runner {
                     runner: runner.clone(),
                     leaving: false,
                 });
@@ -502,14 +502,14 @@
         }
     }
 
-    /// Passes the machine list on to the members of the zone.
-    fn renew_machines(&mut self) {
-        let sent = self.machines_sent;
-        let is_due = sent.is_none_or(|sent| self.now.since(sent) >= MACHINES_RENEWAL);
+    /// As coordinator, sends the machine list to the members of the zone when it is due.
+    fn send_machine_snapshot(&mut self) {
+        let sent = self.machines_sent_at;
+        let is_due = sent.is_none_or(|sent| self.now.since(sent) >= MACHINE_SNAPSHOT_INTERVAL);
         let Some(term) = self.leading().filter(|_| is_due) else {
             return;
         };
-        self.machines_sent = Some(self.now);
+        self.machines_sent_at = Some(self.now);
         self.machines_sequence += 1;
         let snapshot = self.machines.snapshot(term, self.machines_sequence);
         let members = self.gossip.membership().others().clone();
--- a/crates/control/src/node/replies.rs
+++ b/crates/control/src/node/replies.rs
@@ -1,4 +1,4 @@
-//! What the coordinator answers to gateways while one event is handled, joined for each of them.
+//! Batches the coordinator's replies to each gateway while one event is handled.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 
 use super::{Node, NodeAction};
 
-/// Answers and confirmations that are not sent yet.
+/// Answers and confirmations to be sent.
 #[derive(Debug, Default)]
 pub(super) struct Replies {
     answers: BTreeMap<DaemonName, Vec<RouteAnswer>>,
@@ -21,7 +21,7 @@
         self.answers.entry(gateway).or_default().push(answer);
     }
 
-    /// Adds an answer that a gateway holds and that still holds.
+    /// Adds a confirmation that an answer which a gateway has is still valid.
     pub(super) fn confirm(&mut self, gateway: DaemonName, version: AnswerVersion) {
         let key = (gateway, version.term);
         self.confirmed
@@ -32,7 +32,7 @@
 }
 
 impl Node {
-    /// Sends what the coordinator has answered, one message of each kind for each gateway.
+    /// Sends the batched replies, one message of each kind per gateway.
     pub(super) fn send_replies(&mut self) {
         let replies = std::mem::take(&mut self.replies);
         for (gateway, answers) in replies.answers {
--- a/crates/control/src/observation.rs
+++ b/crates/control/src/observation.rs
@@ -1,8 +1,9 @@
-//! What an observer reads of its share of a zone's runners, when, and what of it is news.
+//! Schedules the reads of the runners assigned to an observer and reports changes.
 //!
-//! The runners of a zone are shared out among its members, so that no daemon reads them all. The
-//! zone's coordinator hears of changes, and now and then that nothing has changed; it reads a runner
-//! itself only to seal it, to follow an order, or when its observer doubts that it answers.
+//! The runners of a zone are partitioned among its members, so that no daemon reads them all. The
+//! zone's coordinator receives changes, and periodic confirmations that nothing has changed. It reads
+//! a runner itself only to seal it, to follow up an order, or when the observer reports that the
+//! runner does not answer.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,16 +12,17 @@
 use flaxward_types::{RunnerName, Timestamp};
 use flaxward_wire::{InventoryNews, RunnerReport};
 
-/// Time between two reads of a runner's load. An engine that leaves says so in it, and with the time
-/// that a mark takes to reach every gateway no new work may reach it after 3 s.
+/// Time between two reads of a runner's load. The load report says whether the engine is leaving;
+/// including the time that a mark takes to reach every gateway, no new work may reach a leaving
+/// engine after 3 s.
 const LOAD_INTERVAL: Duration = Duration::from_secs(2);
-/// Loads that differ by this factor at most are no news, ...
+/// Loads that differ by at most this factor are not reported, ...
 const LOAD_FACTOR: u32 = 2;
-/// ... and neither are those that differ by this number of requests beyond it.
+/// ... nor are those that exceed the factor by at most this number of requests.
 const LOAD_SLACK: u32 = 4;
 
-/// Whether two numbers of requests differ too little to be news.
-pub fn is_near(old: u32, new: u32) -> bool {
+/// Whether two numbers of requests differ too little to be reported.
+pub fn is_similar_load(old: u32, new: u32) -> bool {
     let low = old.min(new);
     let high = old.max(new);
     high <= low.saturating_mul(LOAD_FACTOR).saturating_add(LOAD_SLACK)
@@ -35,7 +37,7 @@
     pub with_inventory: bool,
 }
 
-/// What a read brought; `None` for what was not read or not answered.
+/// The result of a read; `None` for what was not read or not answered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reading {
     /// The load.
@@ -44,28 +46,28 @@
     pub inventory: Option<Inventory>,
 }
 
-/// Observes the runners of a share.
+/// Observes the runners assigned to this daemon.
 #[derive(Clone, Debug)]
 pub struct Observer {
-    /// Time between two reads of the inventories of the share, all at once.
+    /// Time between two reads of the inventories of all assigned runners, which are read together.
     inventory_interval: Duration,
     inventories_due: Timestamp,
-    runners: BTreeMap<RunnerName, Observed>,
+    runners: BTreeMap<RunnerName, RunnerState>,
 }
 
-/// What is known of one runner.
+/// The last known state of one runner.
 #[derive(Clone, Debug)]
-struct Observed {
+struct RunnerState {
     machine: Machine,
     due: Timestamp,
-    /// The load last reported; `None` if none was, or that it did not answer.
+    /// The load last reported; `None` if none was reported or the runner did not answer.
     load: Option<LoadReport>,
     /// The inventory last reported.
     inventory: Option<Inventory>,
 }
 
 impl Observer {
-    /// An observer without a share, which reads inventories this often.
+    /// An observer without runners, which reads inventories at this interval.
     pub fn new(inventory_interval: Duration) -> Self {
         Self {
             inventory_interval,
@@ -74,13 +76,13 @@
         }
     }
 
-    /// Takes over another share. What is known of runners that stay in it is kept.
-    pub fn set_share(&mut self, share: Vec<Machine>) {
+    /// Replaces the assigned runners. The state of runners that stay assigned is kept.
+    pub fn set_runners(&mut self, machines: Vec<Machine>) {
         let mut known = std::mem::take(&mut self.runners);
-        for machine in share {
+        for machine in machines {
             let observed = match known.remove(&machine.name) {
                 Some(observed) if observed.machine.address == machine.address => observed,
-                _ => Observed::new(machine),
+                _ => RunnerState::new(machine),
             };
             self.runners.insert(observed.machine.name.clone(), observed);
         }
@@ -106,23 +108,23 @@
         reads
     }
 
-    /// When the next read is due; `None` without a share.
+    /// When the next read is due; `None` without runners.
     pub fn next_due(&self) -> Option<Timestamp> {
         let loads = self.runners.values().map(|observed| observed.due).min();
         loads.map(|due| due.min(self.inventories_due))
     }
 
-    /// Takes in what a read brought. Returns what the coordinator should hear of it.
-    pub fn take_in(&mut self, read: &Read, reading: Reading) -> Option<RunnerReport> {
+    /// Records the result of a read. Returns the report for the coordinator, if there is one.
+    pub fn record(&mut self, read: &Read, reading: Reading) -> Option<RunnerReport> {
         let observed = self.runners.get_mut(&read.machine.name)?;
-        let is_news = observed.load_is_news(reading.load.as_ref());
-        let inventory = observed.inventory_news(reading.inventory);
-        if !is_news && inventory == InventoryNews::Unread {
+        let is_changed = observed.load_changed(reading.load.as_ref());
+        let inventory = observed.inventory_update(reading.inventory);
+        if !is_changed && inventory == InventoryNews::Unread {
             return None;
         }
         observed.load.clone_from(&reading.load);
         if reading.load.is_none() {
-            // Whatever it holds when it answers again is news.
+            // The whole inventory is reported when the runner answers again.
             observed.inventory = None;
         }
         Some(RunnerReport {
@@ -133,7 +135,7 @@
     }
 }
 
-impl Observed {
+impl RunnerState {
     fn new(machine: Machine) -> Self {
         Self {
             machine,
@@ -143,19 +145,19 @@
         }
     }
 
-    fn load_is_news(&self, load: Option<&LoadReport>) -> bool {
+    fn load_changed(&self, load: Option<&LoadReport>) -> bool {
         match (&self.load, load) {
             (Some(old), Some(new)) => {
                 old.leaving != new.leaving
-                    || !is_near(old.running, new.running)
-                    || !is_near(old.waiting, new.waiting)
+                    || !is_similar_load(old.running, new.running)
+                    || !is_similar_load(old.waiting, new.waiting)
             }
-            // A runner that does not answer is doubted again with each read.
+            // A runner that does not answer is reported with every read.
             _ => true,
         }
     }
 
-    fn inventory_news(&mut self, inventory: Option<Inventory>) -> InventoryNews {
+    fn inventory_update(&mut self, inventory: Option<Inventory>) -> InventoryNews {
         let Some(inventory) = inventory else {
             return InventoryNews::Unread;
         };
--- a/crates/control/src/rotation.rs
+++ b/crates/control/src/rotation.rs
@@ -1,6 +1,6 @@
-//! Takes peers in turn: each once in random order, then again in another order.
+//! Shuffled round-robin over peers: each peer once in random order, then all again in a new order.
 //!
-//! Sending in turn misses far fewer than choosing anew each time, for the same number of sends.
+//! For the same number of sends, this misses far fewer peers than independent random choices.
 
 use flaxward_types::DaemonName;
 use flaxward_wire::Peer;
@@ -8,10 +8,10 @@
 use rand::seq::SliceRandom;
 use rand_chacha::ChaCha8Rng;
 
-/// What is left of the present turn, the next one last.
+/// The peers left in the current round, the next one last.
 #[derive(Clone, Debug, Default)]
 pub struct Rotation {
-    order: Vec<DaemonName>,
+    remaining: Vec<DaemonName>,
 }
 
 impl Rotation {
@@ -21,18 +21,18 @@
             return None;
         }
         loop {
-            if self.order.is_empty() {
-                self.order = candidates.iter().map(|peer| peer.name.clone()).collect();
-                self.order.shuffle(random);
+            if self.remaining.is_empty() {
+                self.remaining = candidates.iter().map(|peer| peer.name.clone()).collect();
+                self.remaining.shuffle(random);
             }
-            let name = self.order.pop()?;
+            let name = self.remaining.pop()?;
             if let Some(peer) = candidates.iter().find(|peer| peer.name == name) {
                 return Some(peer.clone());
             }
         }
     }
 
-    /// The next peers among the candidates, each of them once.
+    /// The next peers among the candidates, without duplicates.
     pub fn next_few(
         &mut self,
         count: usize,
@@ -47,9 +47,9 @@
         chosen
     }
 
-    /// Puts a new peer somewhere into the present turn, so that it comes soon.
+    /// Inserts a new peer at a random position of the current round, so that its turn comes soon.
     pub fn add(&mut self, name: DaemonName, random: &mut ChaCha8Rng) {
-        let position = random.random_range(0..=self.order.len());
-        self.order.insert(position, name);
+        let position = random.random_range(0..=self.remaining.len());
+        self.remaining.insert(position, name);
     }
 }
--- a/crates/control/src/rumors.rs
+++ b/crates/control/src/rumors.rs
@@ -1,7 +1,7 @@
-//! Rumors: facts on their way through a group, each sent a bounded number of times.
+//! Rumor dissemination: each fact is sent to a group a bounded number of times.
 //!
-//! A rumor queue holds only the keys of facts; the owner looks up the fact when it is sent, so the
-//! newest state always travels. Facts sent least go first, and among those the newest.
+//! A rumor queue stores only the keys of facts; the owner looks up the fact when it is sent, so the
+//! newest state is always sent. Facts sent the fewest times go first, and among those the newest.
 
 use std::collections::BTreeMap;
 
@@ -12,29 +12,29 @@
 #[derive(Clone, Debug)]
 pub struct Rumors<Key> {
     pending: BTreeMap<Key, Rumor>,
-    pushed: u64,
+    push_count: u64,
 }
 
-/// How often one fact was sent, and when it came in.
+/// Transmission count of one fact, and its position in the order of insertion.
 #[derive(Clone, Copy, Debug)]
 struct Rumor {
     sent: u32,
     order: u64,
 }
 
-/// What is left of an envelope, in bytes.
+/// Bytes still available in an envelope.
 #[derive(Clone, Copy, Debug)]
 pub struct Budget {
     bytes: usize,
 }
 
 impl Budget {
-    /// A budget of so many bytes.
+    /// A budget of the given number of bytes.
     pub fn new(bytes: usize) -> Self {
         Self { bytes }
     }
 
-    /// Takes the bytes that a part needs, if they are left.
+    /// Reserves the encoded size of a part. Returns whether it fits.
     pub fn take<Part: Serialize>(&mut self, part: &Part) -> bool {
         let needed = encoded_size(part);
         if needed > self.bytes {
@@ -49,28 +49,28 @@
     fn default() -> Self {
         Self {
             pending: BTreeMap::new(),
-            pushed: 0,
+            push_count: 0,
         }
     }
 }
 
 impl<Key: Ord + Clone> Rumors<Key> {
-    /// Starts to spread the fact with this key, again from the beginning if it was spread before.
+    /// Queues the fact with this key for dissemination, resetting its transmission count.
     pub fn push(&mut self, key: Key) {
-        self.pushed += 1;
+        self.push_count += 1;
         let rumor = Rumor {
             sent: 0,
-            order: self.pushed,
+            order: self.push_count,
         };
         self.pending.insert(key, rumor);
     }
 
-    /// Stops to spread the fact with this key.
+    /// Stops disseminating the fact with this key.
     pub fn remove(&mut self, key: &Key) {
         self.pending.remove(key);
     }
 
-    /// Whether nothing is left to send.
+    /// Whether no fact is left to send.
     pub fn is_empty(&self) -> bool {
         self.pending.is_empty()
     }
@@ -80,7 +80,7 @@
         self.pending.len()
     }
 
-    /// Picks facts for one envelope, as many as the budget holds, and counts them as sent. A fact
+    /// Selects as many facts for one envelope as fit in the budget and counts them as sent. A fact
     /// that was sent `limit` times, or that the owner no longer knows, is dropped.
     pub fn select<Fact: Serialize>(
         &mut self,
@@ -96,7 +96,7 @@
             };
             if budget.take(&found) {
                 selected.push(found);
-                self.count(&key, limit);
+                self.record_send(&key, limit);
             }
         }
         selected
@@ -108,7 +108,7 @@
         keys.into_iter().map(|(key, _)| key.clone()).collect()
     }
 
-    fn count(&mut self, key: &Key, limit: u32) {
+    fn record_send(&mut self, key: &Key, limit: u32) {
         let Some(rumor) = self.pending.get_mut(key) else {
             return;
         };
@@ -119,14 +119,14 @@
     }
 }
 
-/// How often a fact is sent in a group of this many, so that everyone hears it with near certainty:
-/// `factor * ceil(log2(size + 1))`.
+/// Number of times that a fact is sent in a group of this size so that it almost certainly reaches
+/// every member: `factor * ceil(log2(size + 1))`.
 pub fn transmissions(factor: u32, size: usize) -> u32 {
     factor * (usize::BITS - size.leading_zeros()).max(1)
 }
 
-/// The key that follows `last`, or the first one after the end.
-pub fn next_in_turn<Key: Ord + Clone, Value>(
+/// The key that follows `last`, wrapping around to the first one at the end.
+pub fn next_round_robin<Key: Ord + Clone, Value>(
     facts: &BTreeMap<Key, Value>,
     last: Option<&Key>,
 ) -> Option<Key> {
--- a/crates/control/tests/gossip/configuration.rs
+++ b/crates/control/tests/gossip/configuration.rs
@@ -1,7 +1,8 @@
-//! Configuration: what is in force is always the history at its revision, and the revision rises.
+//! The configuration in force always equals the history at its revision, and the revision never
+//! decreases.
 
 use flaxward_control::configuration::{
-    Applied, Configuration, ConfigurationKeeper, KeeperAction, KeeperSettings,
+    ApplyOutcome, Configuration, ConfigurationReplicator, ReplicatorAction, ReplicatorSettings,
 };
 use flaxward_control::gossip::GossipEvent;
 use flaxward_types::{Revision, Term, Timestamp, ZoneName};
@@ -11,18 +12,18 @@
 
 use crate::cases;
 use crate::history::{History, history};
-use crate::network::{BAD_NETWORK, Faults, NO_FAULTS, Network};
+use crate::network::{Faults, LOSSY_NETWORK, NO_FAULTS, Network};
 
-/// Any two revisions of the history, the lower first; positions may lie between changes.
+/// Maps two numbers to revisions of the history, the lower first; they may lie between changes.
 fn range(history: &History, (first, second): (u64, u64)) -> (Revision, Revision) {
     let last = history.last().0;
     let (first, second) = (first % (last + 1), second % (last + 1));
     (Revision(first.min(second)), Revision(first.max(second)))
 }
 
-/// Applies deltas and snapshots of a history in any order and checks after each step that nothing
-/// reverted and that what is in force is the history at the revision.
-fn holds(
+/// Applies deltas and snapshots of a history in any order. Returns whether, after each step, the
+/// revision has not decreased and the configuration equals the history at its revision.
+fn follows_history(
     history: &History,
     steps: &[(u64, u64, bool)],
     apply: impl Fn(&mut Configuration, &ConfigurationDelta),
@@ -41,7 +42,7 @@
     })
 }
 
-/// Applies every change of a delta, whatever the revision in force.
+/// Applies every change of a delta regardless of the revision in force.
 fn apply_unchecked(configuration: &mut Configuration, delta: &ConfigurationDelta) {
     let mut items: Vec<_> = configuration
         .items()
@@ -55,24 +56,24 @@
     *configuration = Configuration::new(configuration.revision().max(delta.to), items);
 }
 
-/// What a peer has in force after it asked the keeper for what it lacks.
+/// The configuration of a peer after it requested missing changes from the replicator.
 fn answer(
-    keeper: &mut ConfigurationKeeper,
+    replicator: &mut ConfigurationReplicator,
     peer: &Peer,
     mut theirs: Configuration,
     now: Timestamp,
 ) -> Configuration {
     let have = theirs.revision();
     let wanted = Message::ConfigurationWanted { have };
-    for action in keeper.receive(peer, &wanted, now) {
+    for action in replicator.receive(peer, &wanted, now) {
         match action {
-            KeeperAction::Send {
+            ReplicatorAction::Send {
                 message: Message::Configuration(delta),
                 ..
             } => {
-                assert_eq!(theirs.apply_delta(&delta), Applied::Applied);
+                assert_eq!(theirs.apply_delta(&delta), ApplyOutcome::Applied);
             }
-            KeeperAction::Send {
+            ReplicatorAction::Send {
                 message: Message::Snapshot(snapshot),
                 ..
             } => {
@@ -96,99 +97,102 @@
 
     #[test]
     fn deltas_and_snapshots_in_any_order_never_revert(history in history(30), steps in steps()) {
-        let held = holds(&history, &steps, |configuration, delta| {
+        let follows = follows_history(&history, &steps, |configuration, delta| {
             let expected = configuration.check_delta(delta);
             let revision = configuration.revision();
             assert_eq!(configuration.apply_delta(delta), expected);
-            assert_eq!(expected == Applied::Applied, configuration.revision() > revision);
+            assert_eq!(expected == ApplyOutcome::Applied, configuration.revision() > revision);
         });
-        prop_assert!(held);
+        prop_assert!(follows);
     }
 
     #[test]
-    fn a_keeper_learns_from_store_and_peers_without_gaps(
+    fn a_replicator_follows_store_and_peers_without_gaps(
         history in history(30),
         steps in prop::collection::vec((any::<u64>(), any::<u64>(), 0..4_u8), 1..40),
     ) {
-        let settings = KeeperSettings { recent_changes: 8, ..KeeperSettings::default() };
-        let mut keeper = ConfigurationKeeper::new(settings, ZoneName::literal("zone-0"), 1);
-        let peer = Network::new(&[1], BAD_NETWORK, 0).daemons[0].peer.clone();
+        let settings = ReplicatorSettings { recent_changes: 8, ..ReplicatorSettings::default() };
+        let mut replicator = ConfigurationReplicator::new(settings, ZoneName::literal("zone-0"), 1);
+        let peer = Network::new(&[1], LOSSY_NETWORK, 0).daemons[0].peer.clone();
         for (step, (first, second, kind)) in (0..).zip(steps) {
             let now = Timestamp(step * 1_000);
-            let before = keeper.revision();
+            let before = replicator.revision();
             let (from, to) = range(&history, (first, second));
             match kind {
-                0 => drop(keeper.learn(&history.delta(from, to))),
-                1 => drop(keeper.learn_snapshot(&history.snapshot(to))),
+                0 => drop(replicator.apply_watch_delta(&history.delta(from, to))),
+                1 => drop(replicator.apply_listing(&history.snapshot(to))),
                 2 => {
                     let message = Message::Configuration(history.delta(from, to));
-                    keeper.receive(&peer, &message, now);
+                    replicator.receive(&peer, &message, now);
                 }
                 _ => {
-                    let have = Revision(first % (keeper.revision().0 + 1));
-                    let brought = answer(&mut keeper, &peer, history.at(have), now);
-                    prop_assert_eq!(brought, history.at(keeper.revision()));
+                    let have = Revision(first % (replicator.revision().0 + 1));
+                    let received = answer(&mut replicator, &peer, history.at(have), now);
+                    prop_assert_eq!(received, history.at(replicator.revision()));
                 }
             }
-            prop_assert!(keeper.revision() >= before);
-            prop_assert_eq!(&*keeper.current(), &history.at(keeper.revision()));
+            prop_assert!(replicator.revision() >= before);
+            prop_assert_eq!(&*replicator.current(), &history.at(replicator.revision()));
         }
     }
 }
 
 #[test]
-fn applying_without_a_look_at_the_revision_would_revert() {
+fn applying_without_checking_the_revision_reverts_changes() {
     let mut history = History::default();
     let first = history.change(0, Some(1), 0);
     let second = history.change(0, Some(2), 0);
     let third = history.change(0, None, 0);
-    // Doubled, out of order and overlapping: put, put and remove, put again.
+    // Duplicated, out of order and overlapping: put, put and remove, put again.
     let steps = [
         (0, first.0, false),
         (0, third.0, false),
         (first.0, second.0, false),
     ];
-    assert!(holds(&history, &steps, |configuration, delta| {
+    assert!(follows_history(&history, &steps, |configuration, delta| {
         configuration.apply_delta(delta);
     }));
-    assert!(!holds(&history, &steps, apply_unchecked));
+    assert!(!follows_history(&history, &steps, apply_unchecked));
 }
 
 #[test]
-fn a_watch_goes_on_after_what_changed_nothing_and_lists_again_after_a_hole() {
-    let mut keeper =
-        ConfigurationKeeper::new(KeeperSettings::default(), ZoneName::literal("zone-0"), 1);
+fn a_watch_continues_after_an_empty_delta_and_lists_again_after_a_gap() {
+    let mut replicator = ConfigurationReplicator::new(
+        ReplicatorSettings::default(),
+        ZoneName::literal("zone-0"),
+        1,
+    );
     let mut history = History::default();
     let first = history.change(0, Some(1), 0);
     assert_eq!(
-        keeper.learn(&history.delta(Revision(0), first)),
-        Applied::Applied
+        replicator.apply_watch_delta(&history.delta(Revision(0), first)),
+        ApplyOutcome::Applied
     );
     assert_eq!(
-        keeper.learn(&history.delta(first, Revision(20))),
-        Applied::Old
+        replicator.apply_watch_delta(&history.delta(first, Revision(20))),
+        ApplyOutcome::Old
     );
-    assert_eq!(keeper.revision(), first);
+    assert_eq!(replicator.revision(), first);
     let second = history.change(0, Some(2), 21);
     assert_eq!(
-        keeper.learn(&history.delta(Revision(20), second)),
-        Applied::Applied
+        replicator.apply_watch_delta(&history.delta(Revision(20), second)),
+        ApplyOutcome::Applied
     );
     let third = history.change(0, Some(3), 30);
     assert_eq!(
-        keeper.learn(&history.delta(Revision(40), third)),
-        Applied::Behind
+        replicator.apply_watch_delta(&history.delta(Revision(40), third)),
+        ApplyOutcome::Behind
     );
-    assert!(!keeper.learn_snapshot(&history.snapshot(Revision(50))));
+    assert!(!replicator.apply_listing(&history.snapshot(Revision(50))));
     assert_eq!(
-        keeper.learn(&history.delta(Revision(50), third)),
-        Applied::Applied
+        replicator.apply_watch_delta(&history.delta(Revision(50), third)),
+        ApplyOutcome::Applied
     );
-    assert_eq!(keeper.revision(), third);
+    assert_eq!(replicator.revision(), third);
 }
 
 #[test]
-fn a_delta_that_contradicts_itself_is_refused() {
+fn an_inconsistent_delta_is_refused() {
     let mut history = History::default();
     let last = history.change(0, Some(1), 3);
     let outside = ConfigurationDelta {
@@ -203,12 +207,13 @@
     for delta in [outside, backwards] {
         assert_eq!(
             Configuration::default().apply_delta(&delta),
-            Applied::Malformed
+            ApplyOutcome::Malformed
         );
     }
 }
 
-/// Time from each change until every daemon has it or a later one in force; `None` if never.
+/// Time from each change until all daemons have its revision or a later one in force; `None` if
+/// never.
 fn times_to_all(network: &Network, changes: &[(u64, Revision)]) -> Option<Vec<u64>> {
     let time = |at: u64, revision: Revision| {
         let arrivals = network.daemons.iter().map(|daemon| {
@@ -240,7 +245,8 @@
         .all(|(_, _, gossip)| *gossip.configuration() == expected)
 }
 
-/// Changes at the rate of 11,000 a day, and how long each takes to all; sorted.
+/// Makes changes at a rate of 11,000 per day. Returns the sorted times that they took to reach all
+/// daemons.
 fn changes_of_a_day(faults: Faults, count: usize) -> Vec<u64> {
     let mut network = Network::new(&[29], faults, 11);
     network.run(10_000);
@@ -253,7 +259,7 @@
         let number = network.random.random_bool(0.8).then_some(1);
         let to = history.change(network.random.random_range(0..40), number, 2);
         changes.push((network.now, to));
-        network.tell(0, GossipEvent::Learnt(history.delta(from, to)));
+        network.handle_event(0, GossipEvent::Watched(history.delta(from, to)));
     }
     network.run(10_000);
     assert!(is_monotonic(&network));
@@ -265,14 +271,14 @@
 
 #[test]
 fn each_change_of_a_day_at_the_target_is_in_force_everywhere_within_ten_seconds() {
-    for (name, faults, count) in [("no", NO_FAULTS, 150), ("10 %", BAD_NETWORK, 300)] {
+    for (name, faults, count) in [("no", NO_FAULTS, 150), ("10 %", LOSSY_NETWORK, 300)] {
         let times = changes_of_a_day(faults, count);
         let (median, last) = (times[count / 2], times[count - 1]);
         println!(
             "{count} changes at all of 29, {name} loss: median {median} ms, longest {last} ms"
         );
         assert!(last <= 10_000);
-        // Asking alone would do for the longest, but take four times as long for most.
+        // Pulling alone would meet the maximum, but take four times as long for the median change.
         assert!(median <= 2_000);
     }
 }
@@ -281,23 +287,23 @@
     #![proptest_config(cases(16))]
 
     #[test]
-    fn restarts_pauses_and_cuts_delay_changes_but_revert_none(
+    fn restarts_pauses_and_partitions_delay_changes_but_revert_none(
         faults in prop::collection::vec((0..5_u8, 1..12_usize, 100..5_000_u64), 1..25),
         seed: u64,
     ) {
-        let mut network = Network::new(&[12], BAD_NETWORK, seed);
+        let mut network = Network::new(&[12], LOSSY_NETWORK, seed);
         let mut history = History::default();
         for (kind, index, millis) in faults {
             match kind {
                 0 => network.kill(index),
                 1 => network.start_elsewhere(index),
                 2 => network.pause(index, millis),
-                3 => network.daemons[index].side = 1 - network.daemons[index].side,
+                3 => network.daemons[index].partition = 1 - network.daemons[index].partition,
                 _ => {}
             }
             let from = history.last();
             let to = history.change(u8::try_from(index).unwrap(), Some(1), millis % 3);
-            network.tell(0, GossipEvent::Learnt(history.delta(from, to)));
+            network.handle_event(0, GossipEvent::Watched(history.delta(from, to)));
             network.run(millis);
             for (_, _, gossip) in network.running() {
                 let configuration = gossip.configuration();
@@ -305,7 +311,7 @@
             }
             prop_assert!(is_monotonic(&network));
         }
-        network.daemons.iter_mut().for_each(|daemon| daemon.side = 0);
+        network.daemons.iter_mut().for_each(|daemon| daemon.partition = 0);
         prop_assert!(network.run_until(60_000, |network| all_have(network, &history)).is_some());
         prop_assert!(is_monotonic(&network));
     }
@@ -313,14 +319,14 @@
 
 #[test]
 fn while_the_store_is_down_a_new_daemon_starts_from_a_peer() {
-    let mut network = Network::new(&[3], BAD_NETWORK, 12);
+    let mut network = Network::new(&[3], LOSSY_NETWORK, 12);
     network.run(5_000);
     let mut history = History::default();
     for key in 0..200 {
         history.change(key, Some(1), 0);
     }
     let listed = history.snapshot(history.last());
-    network.tell(0, GossipEvent::Listed(listed));
+    network.handle_event(0, GossipEvent::Listed(listed));
     network.run(5_000);
     network.kill(0);
     network.start_elsewhere(2);
@@ -331,16 +337,16 @@
 
 #[test]
 fn a_zone_without_the_store_gets_configuration_from_the_next_zone() {
-    let mut network = Network::new(&[5, 5], BAD_NETWORK, 13);
+    let mut network = Network::new(&[5, 5], LOSSY_NETWORK, 13);
     network.run(5_000);
-    network.tell(0, GossipEvent::Lead(Term(1)));
-    network.tell(5, GossipEvent::Lead(Term(1)));
+    network.handle_event(0, GossipEvent::Lead(Term(1)));
+    network.handle_event(5, GossipEvent::Lead(Term(1)));
     network.run(10_000);
     let mut history = History::default();
     for _ in 0..20 {
         let from = history.last();
         let to = history.change(0, Some(1), 0);
-        network.tell(0, GossipEvent::Learnt(history.delta(from, to)));
+        network.handle_event(0, GossipEvent::Watched(history.delta(from, to)));
         let took = network.run_until(20_000, |network| all_have(network, &history));
         assert!(took.is_some_and(|took| took <= 10_000), "took {took:?} ms");
     }
--- a/crates/control/tests/gossip/facts.rs
+++ b/crates/control/tests/gossip/facts.rs
@@ -1,18 +1,18 @@
-//! Marks and heads reach everyone in time, and the newest holds.
+//! Marks and heads reach all daemons in time, and the newest wins.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
 
 use flaxward_control::gossip::GossipEvent;
 use flaxward_control::heads::Heads;
-use flaxward_control::marks::{FORGET_UNLISTED, Marks};
+use flaxward_control::marks::{Marks, UNLISTED_RETENTION};
 use flaxward_types::{RunnerName, Term, Timestamp, ZoneName};
 use flaxward_wire::{RunnerMark, ZoneHead};
 use proptest::prelude::*;
 use rand::RngExt;
 
 use crate::cases;
-use crate::network::{BAD_NETWORK, Network};
+use crate::network::{LOSSY_NETWORK, Network};
 
 fn runner(number: usize) -> RunnerName {
     RunnerName::literal(&format!("runner-{number:03}"))
@@ -25,7 +25,7 @@
     }
 }
 
-fn everyone_says(network: &Network, number: usize, leaving: bool) -> bool {
+fn is_mark_everywhere(network: &Network, number: usize, leaving: bool) -> bool {
     let runner = runner(number);
     network
         .running()
@@ -37,38 +37,38 @@
 
     #[test]
     fn a_mark_reaches_each_of_29_within_three_seconds(seed: u64) {
-        let mut network = Network::new(&[29], BAD_NETWORK, seed);
+        let mut network = Network::new(&[29], LOSSY_NETWORK, seed);
         network.run(5_000);
-        let mut longest = 0;
+        let mut max = 0;
         for number in 0..60 {
             let pause = network.random.random_range(0..3_000);
             network.run(pause);
             let index = network.random.random_range(0..29);
-            network.tell(index, mark(number, true));
-            let took = network.run_until(3_000, |network| everyone_says(network, number, true));
+            network.handle_event(index, mark(number, true));
+            let took = network.run_until(3_000, |network| is_mark_everywhere(network, number, true));
             prop_assert!(took.is_some());
-            longest = longest.max(took.unwrap_or_default());
+            max = max.max(took.unwrap_or_default());
         }
-        println!("60 marks reached all of 29: longest {longest} ms");
+        println!("60 marks reached all of 29: longest {max} ms");
     }
 
     #[test]
     fn many_marks_at_once_reach_each_of_29_within_three_seconds(seed: u64) {
-        let mut network = Network::new(&[29], BAD_NETWORK, seed);
+        let mut network = Network::new(&[29], LOSSY_NETWORK, seed);
         network.run(5_000);
-        // Every runner of the zone leaves.
+        // Every runner of the zone is leaving.
         for number in 0..318 {
-            network.tell(number % 29, mark(number, true));
+            network.handle_event(number % 29, mark(number, true));
         }
         let took = network.run_until(3_000, |network| {
-            (0..318).all(|number| everyone_says(network, number, true))
+            (0..318).all(|number| is_mark_everywhere(network, number, true))
         });
         println!("318 marks at once reached all of 29 after {took:?} ms");
         prop_assert!(took.is_some());
     }
 
     #[test]
-    fn merging_marks_in_any_order_ends_alike(
+    fn merging_marks_in_any_order_converges(
         facts in prop::collection::vec((0..4_usize, any::<bool>(), 0..4_u64), 1..20),
     ) {
         let facts: Vec<RunnerMark> = facts
@@ -85,17 +85,17 @@
     }
 
     #[test]
-    fn the_head_with_the_highest_term_holds_in_any_order(
+    fn the_head_with_the_highest_term_wins_in_any_order(
         terms in prop::collection::vec((0..2_usize, 0..9_u64), 1..12),
     ) {
-        let network = Network::new(&[9], BAD_NETWORK, 0);
+        let network = Network::new(&[9], LOSSY_NETWORK, 0);
         let mut heads = Heads::default();
         let mut highest = BTreeMap::new();
         for (zone, term) in terms {
             let coordinator = network.daemons[usize::try_from(term).unwrap()].peer.clone();
             let zone = ZoneName::literal(&format!("zone-{zone}"));
-            let held = highest.entry(zone.clone()).or_insert(term);
-            *held = term.max(*held);
+            let known = highest.entry(zone.clone()).or_insert(term);
+            *known = term.max(*known);
             heads.merge(&ZoneHead { zone, term: Term(term), coordinator });
             for (zone, term) in &highest {
                 prop_assert_eq!(heads.get(zone).map(|head| head.term), Some(Term(*term)));
@@ -105,44 +105,45 @@
 }
 
 #[test]
-fn a_daemon_that_lags_does_not_revoke_a_mark_and_the_one_that_saw_it_end_does() {
-    let mut network = Network::new(&[3], BAD_NETWORK, 21);
+fn a_lagging_daemon_does_not_clear_a_mark_but_one_that_saw_the_runner_leaving_does() {
+    let mut network = Network::new(&[3], LOSSY_NETWORK, 21);
     network.run(5_000);
-    network.tell(0, mark(1, true));
+    network.handle_event(0, mark(1, true));
     network.run(3_000);
-    network.tell(1, mark(1, false));
+    network.handle_event(1, mark(1, false));
     network.run(3_000);
-    assert!(everyone_says(&network, 1, true));
-    network.tell(0, mark(1, false));
+    assert!(is_mark_everywhere(&network, 1, true));
+    network.handle_event(0, mark(1, false));
     network.run(3_000);
-    assert!(everyone_says(&network, 1, false));
+    assert!(is_mark_everywhere(&network, 1, false));
 }
 
 #[test]
-fn a_mark_whose_owner_died_is_taken_back_by_one_that_sees_the_runner_stay() {
-    let mut network = Network::new(&[3], BAD_NETWORK, 24);
+fn a_mark_of_a_dead_daemon_is_cleared_by_one_that_sees_the_runner_staying() {
+    let mut network = Network::new(&[3], LOSSY_NETWORK, 24);
     network.run(5_000);
-    network.tell(0, mark(1, true));
+    network.handle_event(0, mark(1, true));
     network.run(3_000);
     network.kill(0);
     for _ in 0..29 {
-        network.tell(1, mark(1, false));
+        network.handle_event(1, mark(1, false));
         network.run(2_000);
-        assert!(everyone_says(&network, 1, true));
+        assert!(is_mark_everywhere(&network, 1, true));
     }
     network.run(2_000);
-    network.tell(1, mark(1, false));
+    network.handle_event(1, mark(1, false));
     network.run(3_000);
-    assert!(everyone_says(&network, 1, false));
+    assert!(is_mark_everywhere(&network, 1, false));
 }
 
-/// Gateways may still hold lists of ready replicas that name a machine that is gone.
+/// Marks must outlive the lists of ready replicas kept by gateways, which may name a machine that is
+/// gone.
 #[test]
-fn marks_of_machines_that_are_gone_are_kept_for_a_while_and_a_new_member_gets_the_rest() {
-    let mut network = Network::new(&[4], BAD_NETWORK, 22);
+fn marks_of_unlisted_machines_are_retained_but_not_sent_to_new_members() {
+    let mut network = Network::new(&[4], LOSSY_NETWORK, 22);
     network.run(5_000);
     for number in 0..3 {
-        network.tell(0, mark(number, true));
+        network.handle_event(0, mark(number, true));
     }
     network.run(3_000);
     list_machines(&mut network, 0..9);
@@ -156,7 +157,7 @@
         assert_eq!(gossip.marks().leaving(), expected, "at daemon {index}");
     }
 
-    network.run(u64::try_from(FORGET_UNLISTED.as_millis()).unwrap());
+    network.run(u64::try_from(UNLISTED_RETENTION.as_millis()).unwrap());
     list_machines(&mut network, 1..9);
     let rest: BTreeSet<RunnerName> = (1..3).map(runner).collect();
     for (index, _, gossip) in network.running() {
@@ -164,24 +165,24 @@
     }
 }
 
-/// Every daemon reads a machine list with these runners.
+/// Passes a machine list with these runners to every daemon.
 fn list_machines(network: &mut Network, numbers: Range<usize>) {
     for index in 0..network.daemons.len() {
         let listed = numbers.clone().map(runner).collect();
-        network.tell(index, GossipEvent::Machines(listed));
+        network.handle_event(index, GossipEvent::Machines(listed));
     }
 }
 
 #[test]
 fn heads_and_marks_cross_zones_within_seconds_and_a_higher_term_wins() {
     let zones = 22;
-    let mut network = Network::new(&[3; 22], BAD_NETWORK, 23);
+    let mut network = Network::new(&[3; 22], LOSSY_NETWORK, 23);
     network.run(5_000);
     for zone in 0..zones {
-        network.tell(zone * 3, GossipEvent::Lead(Term(1)));
+        network.handle_event(zone * 3, GossipEvent::Lead(Term(1)));
     }
-    let heads = |network: &Network, place: usize, count: usize| {
-        let coordinates = |index: &usize| index % 3 == place;
+    let heads = |network: &Network, position: usize, count: usize| {
+        let coordinates = |index: &usize| index % 3 == position;
         let coordinators: Vec<_> = (0..zones * 3)
             .filter(coordinates)
             .map(|index| network.daemons[index].peer.clone())
@@ -195,13 +196,13 @@
     println!("heads of 22 zones known to all after {took:?} ms from a cold start");
     assert!(took.is_some());
     network.run(10_000);
-    network.tell(1, GossipEvent::Lead(Term(2)));
+    network.handle_event(1, GossipEvent::Lead(Term(2)));
     let took = network.run_until(10_000, |network| heads(network, 1, 1));
     println!("a new head known in 22 zones after {took:?} ms");
     assert!(took.is_some());
-    network.tell(0, GossipEvent::Resign);
-    network.tell(4, mark(7, true));
-    let took = network.run_until(5_000, |network| everyone_says(network, 7, true));
+    network.handle_event(0, GossipEvent::Resign);
+    network.handle_event(4, mark(7, true));
+    let took = network.run_until(5_000, |network| is_mark_everywhere(network, 7, true));
     println!("a mark known in 22 zones after {took:?} ms");
     assert!(took.is_some());
 }
--- a/crates/control/tests/gossip/history.rs
+++ b/crates/control/tests/gossip/history.rs
@@ -1,4 +1,4 @@
-//! A history of configuration changes, as the store would show it.
+//! A history of configuration changes, as the store would deliver it.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 use flaxward_wire::{ConfigurationChange, ConfigurationDelta, ConfigurationSnapshot};
 use proptest::prelude::*;
 
-/// Changes in order; revisions have gaps, since other objects change as well.
+/// Changes in order; revisions have gaps because other objects change as well.
 #[derive(Clone, Debug, Default)]
 pub struct History(pub Vec<ConfigurationChange>);
 
@@ -17,7 +17,7 @@
         self.0.last().map_or(Revision(0), |change| change.revision)
     }
 
-    /// Everything in force at a revision.
+    /// The configuration in force at a revision.
     pub fn at(&self, revision: Revision) -> Configuration {
         let mut items = BTreeMap::new();
         for change in self.0.iter().filter(|change| change.revision <= revision) {
@@ -43,7 +43,7 @@
         self.at(revision).snapshot()
     }
 
-    /// Adds a change of one of a few keys: removed if there is no number, else put.
+    /// Appends a change of a key: a removal without a number, otherwise a put.
     pub fn change(&mut self, key: u8, number: Option<u32>, gap: u64) -> Revision {
         let revision = Revision(self.last().0 + 1 + gap);
         let (key, item) = if key.is_multiple_of(2) {
@@ -67,7 +67,7 @@
     }
 }
 
-/// A history of up to so many changes of six keys, with removals and re-creations.
+/// A history of fewer than `length` changes of six keys, with removals and re-creations.
 pub fn history(length: usize) -> impl Strategy<Value = History> {
     let change = (0..6_u8, prop::option::weighted(0.7, 0..100_u32), 0..4_u64);
     prop::collection::vec(change, 1..length).prop_map(|changes| {
--- a/crates/control/tests/gossip/main.rs
+++ b/crates/control/tests/gossip/main.rs
@@ -9,7 +9,7 @@
 
 use proptest::test_runner::{Config, RngSeed};
 
-/// Runs with a fixed seed; `FLAXWARD_PROPTEST_CASES` asks for more cases.
+/// Runs with a fixed seed; `FLAXWARD_PROPTEST_CASES` overrides the number of cases.
 fn cases(default: u32) -> Config {
     let cases = std::env::var("FLAXWARD_PROPTEST_CASES")
         .ok()
--- a/crates/control/tests/gossip/membership.rs
+++ b/crates/control/tests/gossip/membership.rs
@@ -1,4 +1,4 @@
-//! Who is in the zone: everyone agrees, the dead are found, the living are not buried.
+//! Membership: daemons agree on the members, detect dead ones and rarely declare live ones dead.
 
 use flaxward_control::gossip::GossipEvent;
 use flaxward_control::membership::{
@@ -10,10 +10,10 @@
 use rand::RngExt;
 
 use crate::cases;
-use crate::network::{BAD_NETWORK, Faults, NO_FAULTS, Network};
+use crate::network::{Faults, LOSSY_NETWORK, NO_FAULTS, Network};
 
-/// Time to all after a start, a heal or a death, in milliseconds.
-const SETTLE: u64 = 60_000;
+/// Time in which all daemons agree after a start, a healed partition or a death, in milliseconds.
+const SETTLE_TIME_MS: u64 = 60_000;
 
 #[derive(Clone, Debug)]
 enum Fault {
@@ -21,7 +21,7 @@
     Start(usize),
     StartElsewhere(usize),
     Pause(usize, u64),
-    Cut(usize),
+    Partition(usize),
     Heal,
     Wait(u64),
 }
@@ -32,7 +32,7 @@
         (0..size).prop_map(Fault::Start),
         (0..size).prop_map(Fault::StartElsewhere),
         (0..size, 500..20_000_u64).prop_map(|(index, millis)| Fault::Pause(index, millis)),
-        (1..size).prop_map(Fault::Cut),
+        (1..size).prop_map(Fault::Partition),
         Just(Fault::Heal),
         (100..20_000_u64).prop_map(Fault::Wait),
     ]
@@ -44,15 +44,15 @@
         Fault::Start(index) if network.daemons[index].gossip.is_none() => network.start(index),
         Fault::StartElsewhere(index) => network.start_elsewhere(index),
         Fault::Pause(index, millis) => network.pause(index, millis),
-        Fault::Cut(first) => {
+        Fault::Partition(first) => {
             for (index, daemon) in network.daemons.iter_mut().enumerate() {
-                daemon.side = u8::from(index >= first);
+                daemon.partition = u8::from(index >= first);
             }
         }
         Fault::Heal => network
             .daemons
             .iter_mut()
-            .for_each(|daemon| daemon.side = 0),
+            .for_each(|daemon| daemon.partition = 0),
         Fault::Wait(millis) => network.run(millis),
         Fault::Start(_) => {}
     }
@@ -67,7 +67,7 @@
         faults in prop::collection::vec(fault(29), 0..20),
         seed: u64,
     ) {
-        let mut network = Network::new(&[size], BAD_NETWORK, seed);
+        let mut network = Network::new(&[size], LOSSY_NETWORK, seed);
         for fault in &faults {
             let within = match fault {
                 Fault::Kill(index) | Fault::Start(index) | Fault::StartElsewhere(index)
@@ -78,13 +78,13 @@
                 inject(&mut network, fault);
             }
         }
-        network.daemons.iter_mut().for_each(|daemon| daemon.side = 0);
-        // A seed must run, or nobody can be found: it is the settings' promise.
+        network.daemons.iter_mut().for_each(|daemon| daemon.partition = 0);
+        // At least one seed must run, or no member can be found; the settings require this.
         for index in 0..size.min(2) {
             inject(&mut network, &Fault::Start(index));
         }
         network.run(20_000);
-        let took = network.run_until(SETTLE, Network::agrees_on_members);
+        let took = network.run_until(SETTLE_TIME_MS, Network::agrees_on_members);
         prop_assert!(took.is_some());
         let mut ranks: Vec<usize> =
             network.running().map(|(_, _, gossip)| gossip.membership().rank()).collect();
@@ -99,8 +99,8 @@
         victim in 0..2_usize,
         seed: u64,
     ) {
-        let mut network = Network::new(&[size], BAD_NETWORK, seed);
-        prop_assert!(network.run_until(SETTLE, Network::agrees_on_members).is_some());
+        let mut network = Network::new(&[size], LOSSY_NETWORK, seed);
+        prop_assert!(network.run_until(SETTLE_TIME_MS, Network::agrees_on_members).is_some());
         network.kill(victim);
         let took = network.run_until(20_000, Network::agrees_on_members);
         println!("death of one of {size} known to all after {took:?} ms");
@@ -112,12 +112,12 @@
         size in prop_oneof![Just(2_usize), Just(29)],
         seed: u64,
     ) {
-        let mut network = Network::new(&[size], BAD_NETWORK, seed);
-        prop_assert!(network.run_until(SETTLE, Network::agrees_on_members).is_some());
-        // Until the news of the start is no longer news.
+        let mut network = Network::new(&[size], LOSSY_NETWORK, seed);
+        prop_assert!(network.run_until(SETTLE_TIME_MS, Network::agrees_on_members).is_some());
+        // Until the rumors of the start are no longer sent.
         network.run(20_000);
         let leaver = network.daemons[1].peer.clone();
-        network.tell(1, GossipEvent::Leave);
+        network.handle_event(1, GossipEvent::Leave);
         let took = network.run_until(3_000, |network| {
             network.running().all(|(_, _, gossip)| {
                 let update = gossip.membership().member(&leaver.name);
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn a_zone_without_faults_settles_soon_and_stays_whole() {
+fn a_zone_without_faults_converges_soon_and_stays_complete() {
     let mut network = Network::new(&[29], NO_FAULTS, 1);
     let took = network.run_until(5_000, Network::agrees_on_members);
     println!("29 daemons started together agree after {took:?} ms");
@@ -144,25 +144,25 @@
 }
 
 #[test]
-fn living_daemons_on_a_bad_network_are_not_buried_for_long() {
-    let mut network = Network::new(&[29], BAD_NETWORK, 2);
-    network.run(SETTLE);
+fn live_daemons_on_a_lossy_network_are_rarely_declared_dead() {
+    let mut network = Network::new(&[29], LOSSY_NETWORK, 2);
+    network.run(SETTLE_TIME_MS);
     let mut disagreeing = 0;
     for _ in 0..1_200 {
         network.run(500);
         disagreeing += u32::from(!network.agrees_on_members());
     }
-    println!("of 1200 looks in 600 s at 10 % loss, {disagreeing} found a living daemon missing");
+    println!("of 1200 checks in 600 s at 10 % loss, {disagreeing} found a live daemon missing");
     assert!(disagreeing <= 12);
 }
 
 #[test]
-fn a_cut_longer_than_the_memory_of_the_dead_heals() {
-    let mut network = Network::new(&[0], BAD_NETWORK, 3);
-    network.settings.membership.forget_after = std::time::Duration::from_secs(30);
-    network.grow(0, 8);
-    network.run(SETTLE);
-    inject(&mut network, &Fault::Cut(4));
+fn a_partition_longer_than_the_retention_of_dead_members_heals() {
+    let mut network = Network::new(&[0], LOSSY_NETWORK, 3);
+    network.settings.membership.dead_member_retention = std::time::Duration::from_secs(30);
+    network.add_daemons(0, 8);
+    network.run(SETTLE_TIME_MS);
+    inject(&mut network, &Fault::Partition(4));
     network.run(120_000);
     for (_, _, gossip) in network.running() {
         assert_eq!(gossip.membership().members().count(), 4);
@@ -170,16 +170,16 @@
     inject(&mut network, &Fault::Heal);
     assert!(
         network
-            .run_until(SETTLE, Network::agrees_on_members)
+            .run_until(SETTLE_TIME_MS, Network::agrees_on_members)
             .is_some()
     );
 }
 
 #[test]
-fn the_dead_are_forgotten_however_often_others_join() {
+fn dead_members_are_purged_even_if_others_keep_joining() {
     let mut network = Network::new(&[0], NO_FAULTS, 7);
-    network.settings.membership.forget_after = std::time::Duration::from_secs(30);
-    network.grow(0, 5);
+    network.settings.membership.dead_member_retention = std::time::Duration::from_secs(30);
+    network.add_daemons(0, 5);
     network.run(10_000);
     network.kill(4);
     for index in [1, 2, 3, 1, 2, 3] {
@@ -195,9 +195,9 @@
 }
 
 #[test]
-fn a_daemon_restarted_with_an_older_clock_takes_its_place_again() {
-    let mut network = Network::new(&[5], BAD_NETWORK, 4);
-    network.run(SETTLE);
+fn a_daemon_restarted_with_an_older_clock_rejoins() {
+    let mut network = Network::new(&[5], LOSSY_NETWORK, 4);
+    network.run(SETTLE_TIME_MS);
     network.kill(3);
     network.run(30_000);
     network.start_with(3, 0);
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn a_daemon_that_was_paused_blames_nobody() {
+fn a_paused_daemon_suspects_no_other_member() {
     let mut network = Network::new(
         &[8],
         Faults {
@@ -228,7 +228,7 @@
             let mut members = paused.membership().members();
             assert!(members.all(|member| member.state == MemberState::Alive));
         }
-        // Wait for any phase of the probes.
+        // Vary the phase of the probes.
         let wait = network.random.random_range(5_000..6_000);
         network.run(wait);
     }
@@ -236,7 +236,7 @@
 
 #[test]
 fn a_daemon_at_the_address_of_a_dead_one_does_not_answer_for_it() {
-    let mut network = Network::new(&[5], BAD_NETWORK, 6);
+    let mut network = Network::new(&[5], LOSSY_NETWORK, 6);
     network.run(10_000);
     network.kill(3);
     network.kill(4);
@@ -251,11 +251,11 @@
 }
 
 #[test]
-fn a_zone_that_was_cut_in_two_is_whole_soon_after() {
-    for (name, faults) in [("no", NO_FAULTS), ("10 %", BAD_NETWORK)] {
+fn a_partitioned_zone_merges_soon_after_healing() {
+    for (name, faults) in [("no", NO_FAULTS), ("10 %", LOSSY_NETWORK)] {
         let mut network = Network::new(&[29], faults, 8);
         network.run(10_000);
-        inject(&mut network, &Fault::Cut(14));
+        inject(&mut network, &Fault::Partition(14));
         network.run(60_000);
         inject(&mut network, &Fault::Heal);
         let took = network.run_until(10_000, Network::agrees_on_members);
@@ -265,7 +265,7 @@
 }
 
 #[test]
-fn a_sender_that_is_not_known_is_asked_for_its_members_and_not_at_once_again() {
+fn an_unknown_sender_is_sent_a_join_at_limited_rate() {
     let network = Network::new(&[2], NO_FAULTS, 9);
     let [me, stranger] = [0, 1].map(|index| network.daemons[index].peer.clone());
     let mut membership = Membership::new(MembershipSettings::default(), me, Vec::new(), 1, 1);
--- a/crates/control/tests/gossip/network.rs
+++ b/crates/control/tests/gossip/network.rs
@@ -1,4 +1,4 @@
-//! Daemons in virtual time, joined by a network that loses, doubles, delays and cuts.
+//! Daemons in virtual time on a simulated network with loss, duplication, delay and partitions.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -10,31 +10,31 @@
 use rand_chacha::ChaCha8Rng;
 
 /// Milliseconds between two ticks of a daemon.
-const TICK: u64 = 100;
+const TICK_MS: u64 = 100;
 /// IPv4 and UDP headers, in bytes.
 const DATAGRAM_HEADERS: u64 = 28;
 /// Headers of a short TCP connection with its acknowledgements, in bytes.
 const STREAM_HEADERS: u64 = 500;
 
-/// What the network does to datagrams.
+/// Faults that the network injects into datagrams.
 #[derive(Clone, Copy, Debug)]
 pub struct Faults {
-    /// Share lost.
+    /// Probability of loss.
     pub loss: f64,
-    /// Share doubled.
-    pub doubling: f64,
-    /// Longest delay in milliseconds; differing delays reorder.
+    /// Probability of duplication.
+    pub duplication: f64,
+    /// Maximum delay in milliseconds; varying delays reorder datagrams.
     pub delay: u64,
 }
 
 pub const NO_FAULTS: Faults = Faults {
     loss: 0.0,
-    doubling: 0.0,
+    duplication: 0.0,
     delay: 2,
 };
-pub const BAD_NETWORK: Faults = Faults {
+pub const LOSSY_NETWORK: Faults = Faults {
     loss: 0.1,
-    doubling: 0.05,
+    duplication: 0.05,
     delay: 80,
 };
 
@@ -42,16 +42,16 @@
     pub peer: Peer,
     /// `None` while it is killed.
     pub gossip: Option<Gossip>,
-    /// Daemons reach each other only within the same side.
-    pub side: u8,
+    /// Daemons reach each other only within the same network partition.
+    pub partition: u8,
     paused_until: u64,
-    held: Vec<Envelope>,
+    socket_buffer: Vec<Envelope>,
     clock_offset: u64,
     pub bytes_sent: u64,
     pub messages_sent: u64,
     /// Every revision that was in force, in order.
     pub revisions: Vec<(u64, Revision)>,
-    /// When marks or heads changed last.
+    /// When marks last changed.
     pub marks_changed: u64,
 }
 
@@ -72,8 +72,8 @@
 }
 
 impl Network {
-    /// Zones of so many daemons each, all started together. Everyone has the first two
-    /// daemons of each zone as seeds.
+    /// Zones with the given numbers of daemons, all started together. The first two daemons of
+    /// each zone are the seeds of all daemons.
     pub fn new(zones: &[usize], faults: Faults, seed: u64) -> Self {
         let mut network = Self {
             now: 0,
@@ -86,46 +86,46 @@
             random: ChaCha8Rng::seed_from_u64(seed),
         };
         for (zone, size) in zones.iter().enumerate() {
-            network.grow(zone, *size);
+            network.add_daemons(zone, *size);
         }
         network
     }
 
     /// Adds daemons to a zone and starts them.
-    pub fn grow(&mut self, zone: usize, size: usize) {
+    pub fn add_daemons(&mut self, zone: usize, size: usize) {
         let first = self.daemons.len();
-        for place in 0..size {
-            self.add(zone, place);
+        for position in 0..size {
+            self.add(zone, position);
         }
         for index in first..self.daemons.len() {
             self.start(index);
         }
     }
 
-    fn add(&mut self, zone: usize, place: usize) {
+    fn add(&mut self, zone: usize, position: usize) {
         let index = self.daemons.len();
         let peer = Peer {
-            name: DaemonName::literal(&format!("flaxward-{zone}-{place:02}")),
+            name: DaemonName::literal(&format!("flaxward-{zone}-{position:02}")),
             zone: ZoneName::literal(&format!("zone-{zone}")),
             address: address(index),
         };
         self.daemons.push(Daemon {
             peer,
             gossip: None,
-            side: 0,
+            partition: 0,
             paused_until: 0,
-            held: Vec::new(),
+            socket_buffer: Vec::new(),
             clock_offset: 0,
             bytes_sent: 0,
             messages_sent: 0,
             revisions: Vec::new(),
             marks_changed: 0,
         });
-        let phase = self.random.random_range(0..TICK);
+        let phase = self.random.random_range(0..TICK_MS);
         self.schedule(self.now + phase, Event::Tick(index));
     }
 
-    /// Starts a killed daemon, which remembers nothing.
+    /// Starts a killed daemon without any of its former state.
     pub fn start(&mut self, index: usize) {
         self.starts += 1;
         let incarnation = self.now + 1;
@@ -142,7 +142,7 @@
         daemon.gossip = Some(Gossip::new(settings, me, seeds, incarnation, seed));
         daemon.clock_offset = offset;
         daemon.paused_until = 0;
-        daemon.held.clear();
+        daemon.socket_buffer.clear();
         daemon.revisions.clear();
     }
 
@@ -168,13 +168,13 @@
         self.start(index);
     }
 
-    /// Stops the process of a daemon for a while; what arrives meanwhile waits in its socket.
+    /// Pauses the process of a daemon; envelopes that arrive meanwhile wait in its socket buffer.
     pub fn pause(&mut self, index: usize, millis: u64) {
         self.daemons[index].paused_until = self.now + millis;
     }
 
-    /// Gives an event of the daemon itself to its gossip.
-    pub fn tell(&mut self, index: usize, event: GossipEvent) {
+    /// Passes an event to the gossip of a daemon.
+    pub fn handle_event(&mut self, index: usize, event: GossipEvent) {
         let now = self.now;
         let daemon = &mut self.daemons[index];
         let time = Timestamp(now + daemon.clock_offset);
@@ -191,11 +191,11 @@
             daemon.revisions.push((now, revision));
         }
         for action in actions {
-            self.carry_out(index, action);
+            self.apply_action(index, action);
         }
     }
 
-    fn carry_out(&mut self, index: usize, action: GossipAction) {
+    fn apply_action(&mut self, index: usize, action: GossipAction) {
         match action {
             GossipAction::Send(to, envelope) => self.send(index, to, &envelope),
             GossipAction::MarksChanged => self.daemons[index].marks_changed = self.now,
@@ -211,15 +211,15 @@
         } else {
             STREAM_HEADERS
         };
-        let side = self.daemons[index].side;
+        let partition = self.daemons[index].partition;
         self.daemons[index].bytes_sent += length + headers;
         self.daemons[index].messages_sent += 1;
         let lost = datagram && self.random.random_bool(self.faults.loss);
-        let doubled = datagram && self.random.random_bool(self.faults.doubling);
-        let copies = usize::from(!lost) + usize::from(doubled);
+        let duplicated = datagram && self.random.random_bool(self.faults.duplication);
+        let copies = usize::from(!lost) + usize::from(duplicated);
         for _ in 0..copies {
             let delay = self.random.random_range(1..=self.faults.delay);
-            let event = Event::Arrive(to, side, Box::new(envelope.clone()));
+            let event = Event::Arrive(to, partition, Box::new(envelope.clone()));
             self.schedule(self.now + delay, event);
         }
     }
@@ -229,7 +229,7 @@
         self.events.insert((at, self.scheduled), event);
     }
 
-    /// Lets so many milliseconds pass.
+    /// Advances virtual time by this many milliseconds.
     pub fn run(&mut self, millis: u64) {
         let end = self.now + millis;
         while let Some(entry) = self.events.first_entry() {
@@ -240,48 +240,49 @@
             self.now = at;
             match event {
                 Event::Tick(index) => self.tick(index),
-                Event::Arrive(to, side, envelope) => self.arrive(to, side, *envelope),
+                Event::Arrive(to, partition, envelope) => self.arrive(to, partition, *envelope),
             }
         }
         self.now = end;
     }
 
-    /// Runs until the condition holds, at most so long. Returns the milliseconds it took.
+    /// Runs until the condition holds, for at most `limit` milliseconds. Returns the milliseconds it
+    /// took.
     pub fn run_until(&mut self, limit: u64, condition: impl Fn(&Self) -> bool) -> Option<u64> {
-        let began = self.now;
+        let started_at = self.now;
         while !condition(self) {
-            if self.now - began >= limit {
+            if self.now - started_at >= limit {
                 return None;
             }
             self.run(50);
         }
-        Some(self.now - began)
+        Some(self.now - started_at)
     }
 
     fn tick(&mut self, index: usize) {
-        self.schedule(self.now + TICK, Event::Tick(index));
+        self.schedule(self.now + TICK_MS, Event::Tick(index));
         if self.now < self.daemons[index].paused_until {
             return;
         }
-        // After a pause the timer comes first: what the daemon did not hear yet is in its socket.
-        self.tell(index, GossipEvent::Tick);
-        for envelope in std::mem::take(&mut self.daemons[index].held) {
-            self.tell(index, GossipEvent::Received(envelope));
+        // After a pause the timer fires before the socket buffer is read.
+        self.handle_event(index, GossipEvent::Tick);
+        for envelope in std::mem::take(&mut self.daemons[index].socket_buffer) {
+            self.handle_event(index, GossipEvent::Received(envelope));
         }
     }
 
-    fn arrive(&mut self, to: SocketAddr, side: u8, envelope: Envelope) {
+    fn arrive(&mut self, to: SocketAddr, partition: u8, envelope: Envelope) {
         let Some(index) = self
             .daemons
             .iter()
-            .position(|daemon| daemon.peer.address == to && daemon.side == side)
+            .position(|daemon| daemon.peer.address == to && daemon.partition == partition)
         else {
             return;
         };
         if self.now < self.daemons[index].paused_until {
-            self.daemons[index].held.push(envelope);
+            self.daemons[index].socket_buffer.push(envelope);
         } else {
-            self.tell(index, GossipEvent::Received(envelope));
+            self.handle_event(index, GossipEvent::Received(envelope));
         }
     }
 
--- a/crates/control/tests/node.rs
+++ b/crates/control/tests/node.rs
@@ -1,4 +1,4 @@
-//! The node joins gossip and coordinator: how it starts and stops.
+//! The node connects gossip and the coordinator: start, planned stop and leaving runners.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -20,7 +20,7 @@
 
 const TICK: Duration = Duration::from_millis(50);
 
-/// One node before a store that does at once whatever it is asked.
+/// One node with a store that completes every operation immediately.
 struct Harness {
     node: Node,
     now: Timestamp,
@@ -66,7 +66,7 @@
         for action in self.node.handle(event, self.now) {
             match action {
                 NodeAction::Platform(operation) => self.answer(operation),
-                NodeAction::Reading(reading) => self.reading = reading,
+                NodeAction::ReadLists(reading) => self.reading = reading,
                 NodeAction::Stopped => self.stopped = true,
                 NodeAction::Leaving(leaving) => self.leaving = leaving,
                 _ => {}
@@ -99,7 +99,7 @@
         }
     }
 
-    fn hear_of(&mut self, other: &Peer) {
+    fn receive_from(&mut self, other: &Peer) {
         let update = MemberUpdate {
             peer: other.clone(),
             incarnation: 1,
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_daemon_alone_in_its_zone_leads_it() {
+fn a_daemon_alone_in_its_zone_becomes_coordinator() {
     let mut harness = Harness::new();
     harness.run(Duration::from_secs(2));
     assert!(harness.node.leading().is_some());
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn a_lone_daemon_goes_on_coordinating_until_its_gateway_is_drained() {
+fn a_lone_daemon_keeps_coordinating_until_its_gateway_is_drained() {
     let mut harness = Harness::new();
     harness.run(Duration::from_secs(2));
     harness.handle(NodeEvent::Stop);
@@ -145,21 +145,21 @@
     assert_eq!(
         harness.lease_holders.last(),
         Some(&None),
-        "the lease is handed back"
+        "the lease is released"
     );
 }
 
 #[test]
-fn with_another_member_the_lease_goes_over_at_once_and_the_daemon_stays_until_drained() {
+fn with_another_member_the_lease_is_released_at_once_and_the_daemon_runs_until_drained() {
     let mut harness = Harness::new();
     harness.run(Duration::from_secs(2));
-    harness.hear_of(&peer("daemon-2", 2));
+    harness.receive_from(&peer("daemon-2", 2));
     harness.handle(NodeEvent::Stop);
     harness.run(Duration::from_millis(500));
     assert_eq!(
         harness.lease_holders.last(),
         Some(&None),
-        "the lease is handed back"
+        "the lease is released"
     );
     assert!(!harness.stopped, "requests are still in progress");
     harness.handle(NodeEvent::Drained);
@@ -167,7 +167,7 @@
     assert!(harness.stopped);
 }
 
-/// What an observer reports of an engine.
+/// A report of an observer on one engine.
 fn report(leaving: bool) -> NodeEvent {
     let load = LoadReport {
         leaving,
@@ -181,35 +181,35 @@
 }
 
 #[test]
-fn an_engine_gets_no_new_work_once_its_load_report_says_that_it_leaves() {
+fn an_engine_gets_no_new_work_once_its_load_report_says_that_it_is_leaving() {
     let mut harness = Harness::new();
     harness.run(Duration::from_secs(2));
     harness.handle(report(true));
     let leaving = BTreeSet::from([RunnerName::literal("zone-a-engine-1")]);
     assert_eq!(harness.leaving, leaving);
 
-    // A report that was overtaken does not take it back.
+    // A load report does not clear it, since reports may arrive out of order.
     harness.handle(report(false));
     assert_eq!(harness.leaving, leaving);
 }
 
 #[test]
-fn the_coordinator_reads_the_lists_whatever_its_rank() {
+fn the_coordinator_reads_the_lists_at_any_rank() {
     let mut harness = Harness::new();
     harness.run(Duration::from_secs(2));
     assert!(harness.reading);
     let members = harness.node.gossip_state().membership();
     assert_eq!(members.rank(), 0);
     for port in 2..40 {
-        harness.hear_of(&peer(&format!("daemon-{port}"), port));
+        harness.receive_from(&peer(&format!("daemon-{port}"), port));
     }
     let rank = harness.node.gossip_state().membership().rank();
-    assert!(rank > 1, "some rank before it: {rank}");
+    assert!(rank > 1, "expected a rank above 1: {rank}");
     assert!(harness.node.leading().is_some());
     assert!(harness.reading);
 }
 
-/// The configuration as listed at a revision, with drains of these runners.
+/// A listing of the configuration at a revision, with drains of these runners.
 fn drains(revision: u64, runners: &BTreeSet<RunnerName>) -> NodeEvent {
     let revision = Revision(revision);
     let drain = ConfigurationItem::Drain(DrainSpec {
@@ -222,7 +222,8 @@
     })
 }
 
-/// A mark could outlive its drain in other zones if all daemons of its own were down at the end.
+/// Drains must not set marks: a mark could outlive its drain in other zones if all daemons of its own
+/// zone were down when the drain ended.
 #[test]
 fn a_drained_runner_of_any_zone_gets_no_new_work_and_no_mark() {
     let mut harness = Harness::new();
--- a/crates/control/tests/observation.rs
+++ b/crates/control/tests/observation.rs
@@ -1,4 +1,4 @@
-//! What observers read and pass on.
+//! Reads and reports of observers.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use flaxward_types::{BootId, RunnerName, Term, Timestamp, ZoneName};
 use flaxward_wire::{InventoryNews, RunnerReport};
 
-const INVENTORIES: Duration = Duration::from_secs(15);
+const INVENTORY_INTERVAL: Duration = Duration::from_secs(15);
 
 fn machine(name: &str, address: &str) -> Machine {
     Machine {
@@ -32,7 +32,7 @@
     }
 }
 
-/// An observer of one runner, and when it read it.
+/// An observer of one runner, and the times of its reads.
 struct Harness {
     observer: Observer,
     now: Timestamp,
@@ -42,8 +42,8 @@
 
 impl Harness {
     fn new() -> Self {
-        let mut observer = Observer::new(INVENTORIES);
-        observer.set_share(vec![machine("runner-1", "a")]);
+        let mut observer = Observer::new(INVENTORY_INTERVAL);
+        observer.set_runners(vec![machine("runner-1", "a")]);
         Self {
             observer,
             now: Timestamp::ZERO,
@@ -52,8 +52,8 @@
         }
     }
 
-    /// Lets time pass; whatever is read shows this number of running requests, or nothing, and an
-    /// inventory of this sequence.
+    /// Advances time. Every read returns this number of running requests and an inventory with this
+    /// sequence number; without a number, the runner does not answer.
     fn run(&mut self, time: Duration, running: Option<u32>, sequence: u64) -> Vec<RunnerReport> {
         let end = self.now + time;
         let mut reports = Vec::new();
@@ -78,12 +78,12 @@
             load,
             inventory: is_read.then(|| inventory(sequence)),
         };
-        self.observer.take_in(read, reading)
+        self.observer.record(read, reading)
     }
 }
 
 #[test]
-fn what_stays_the_same_is_told_once_and_confirmed_with_the_inventories() {
+fn unchanged_state_is_reported_once_and_confirmed_with_the_inventories() {
     let mut harness = Harness::new();
     let first = harness.run(Duration::from_secs(15), Some(10), 1);
     assert_eq!(first.len(), 1);
@@ -93,12 +93,12 @@
     assert_eq!(harness.reads, reads);
     let later = harness.run(Duration::from_secs(15), Some(24), 1);
     let same = InventoryNews::Same(inventory(1).version());
-    let told: Vec<&InventoryNews> = later.iter().map(|report| &report.inventory).collect();
-    assert_eq!(told, [&same]);
+    let reported: Vec<&InventoryNews> = later.iter().map(|report| &report.inventory).collect();
+    assert_eq!(reported, [&same]);
 }
 
 #[test]
-fn a_load_that_more_than_doubles_is_told() {
+fn a_load_that_more_than_doubles_is_reported() {
     let mut harness = Harness::new();
     harness.run(Duration::from_secs(15), Some(10), 1);
     harness.reads.clear();
@@ -108,9 +108,9 @@
     assert_eq!(harness.reads[1], (17_000, false));
 }
 
-/// Whatever it does besides, an engine is heard within 2 s when it says that it leaves.
+/// A leaving engine is reported within 2 s, even if nothing else changes.
 #[test]
-fn a_leaving_engine_is_heard_with_the_next_read_of_its_load() {
+fn a_leaving_engine_is_reported_with_the_next_read_of_its_load() {
     let mut harness = Harness::new();
     harness.run(Duration::from_secs(14), Some(10), 1);
     harness.leaving = true;
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn a_runner_that_does_not_answer_is_told_each_time_and_whole_when_it_is_back() {
+fn an_unresponsive_runner_is_reported_on_every_read_and_in_full_once_it_answers() {
     let mut harness = Harness::new();
     harness.run(Duration::from_secs(15), Some(10), 1);
     let silent = harness.run(Duration::from_secs(4), None, 1);
@@ -132,10 +132,10 @@
 }
 
 #[test]
-fn a_runner_at_another_address_is_read_anew_at_once() {
+fn a_runner_at_another_address_is_read_again_at_once() {
     let mut harness = Harness::new();
     harness.run(Duration::from_secs(1), Some(10), 1);
-    harness.observer.set_share(vec![machine("runner-1", "b")]);
+    harness.observer.set_runners(vec![machine("runner-1", "b")]);
     let reports = harness.run(Duration::from_millis(500), Some(10), 1);
     assert_eq!(reports[0].inventory, InventoryNews::Changed(inventory(1)));
 }
--- a/crates/flaxward/src/daemon/mod.rs
+++ b/crates/flaxward/src/daemon/mod.rs
@@ -305,7 +305,7 @@
     let mut gossip = GossipSettings::default();
     gossip.membership.probe_interval = settings.membership.probe_interval;
     gossip.membership.probe_timeout = settings.membership.probe_timeout;
-    gossip.membership.suspicion = settings.membership.suspicion;
+    gossip.membership.suspicion_timeout = settings.membership.suspicion;
     let seeds = settings
         .daemon
         .seeds
