--- a/crates/flaxward/src/daemon/observer.rs
+++ b/crates/flaxward/src/daemon/observer.rs
@@ -29,7 +29,7 @@
     let started = Instant::now();
     let now = || Timestamp::ZERO + started.elapsed();
     let mut observer = Observer::new(inventory_interval);
-    observer.set_share(share.borrow_and_update().clone());
+    observer.set_runners(share.borrow_and_update().clone());
     loop {
         let pause = observer.next_due().map(|due| due.since(now()));
         tokio::select! {
@@ -38,7 +38,7 @@
                 if changed.is_err() {
                     return;
                 }
-                observer.set_share(share.borrow_and_update().clone());
+                observer.set_runners(share.borrow_and_update().clone());
             }
             () = stop.cancelled() => return,
         }
@@ -48,7 +48,7 @@
         let news: Vec<RunnerReport> = due
             .iter()
             .zip(readings)
-            .filter_map(|(read, reading)| observer.take_in(read, reading))
+            .filter_map(|(read, reading)| observer.record(read, reading))
             .collect();
         if !news.is_empty() {
             let _ = events.send(NodeEvent::Observed(news).into());
--- a/crates/flaxward/src/daemon/watches.rs
+++ b/crates/flaxward/src/daemon/watches.rs
@@ -45,7 +45,7 @@
         let (changes, to) = configuration_changes(event);
         let from = Revision(seen.swap(to.0, Ordering::Relaxed));
         let delta = ConfigurationDelta { from, to, changes };
-        let _ = events.send(NodeEvent::Learnt(delta).into());
+        let _ = events.send(NodeEvent::Watched(delta).into());
     };
     follow(
         store,
--- a/crates/simulation/src/process.rs
+++ b/crates/simulation/src/process.rs
@@ -198,7 +198,7 @@
                         item,
                     }],
                 };
-                Some(NodeEvent::Learnt(delta))
+                Some(NodeEvent::Watched(delta))
             }
             _ => None,
         }
