--- a/crates/control/src/coordinator/answers.rs
+++ b/crates/control/src/coordinator/answers.rs
@@ -11,7 +11,7 @@
 use super::leading::{Block, Context, Leading};
 use super::loads::Tier;
 use super::sample::{SAMPLE_SIZE, sample};
-use crate::observation::is_near;
+use crate::observation::is_similar_load;
 
 /// Added to the estimate while another operation must complete before the load.
 const PREPARATION_ESTIMATE: Duration = Duration::from_secs(1);
@@ -104,7 +104,7 @@
     /// Whether the announced loads are still accurate enough for routing.
     fn has_similar_loads(&self, sample: &[Replica]) -> bool {
         let mut pairs = self.sample.iter().zip(sample);
-        pairs.all(|(old, new)| is_near(old.outstanding, new.outstanding))
+        pairs.all(|(old, new)| is_similar_load(old.outstanding, new.outstanding))
     }
 }
 
