--- a/crates/control/src/node/interface.rs
+++ b/crates/control/src/node/interface.rs
@@ -59,7 +59,7 @@
     /// Another configuration is in force.
     Configuration(Arc<Configuration>),
     /// Start or stop reading the platform's lists.
-    ReadLists(bool),
+    Reading(bool),
     /// Observe these runners.
     Observe(Vec<Machine>),
     /// List the configuration again: changes are missing.
--- a/crates/control/src/node/mod.rs
+++ b/crates/control/src/node/mod.rs
@@ -262,7 +262,7 @@
         let reading = rank < LIST_READER_RANKS || self.leading().is_some();
         if self.published.reading != reading {
             self.published.reading = reading;
-            self.actions.push(NodeAction::ReadLists(reading));
+            self.actions.push(NodeAction::Reading(reading));
         }
     }
 
--- a/crates/control/tests/node.rs
+++ b/crates/control/tests/node.rs
@@ -66,7 +66,7 @@
         for action in self.node.handle(event, self.now) {
             match action {
                 NodeAction::Platform(operation) => self.answer(operation),
-                NodeAction::ReadLists(reading) => self.reading = reading,
+                NodeAction::Reading(reading) => self.reading = reading,
                 NodeAction::Stopped => self.stopped = true,
                 NodeAction::Leaving(leaving) => self.leaving = leaving,
                 _ => {}
--- a/crates/flaxward/src/daemon/core.rs
+++ b/crates/flaxward/src/daemon/core.rs
@@ -124,7 +124,7 @@
                     .ready
                     .send_if_modified(|ready| !std::mem::replace(ready, true));
             }
-            NodeAction::ReadLists(reading) => {
+            NodeAction::Reading(reading) => {
                 parts.reading.send_replace(reading);
             }
             NodeAction::Observe(share) => {
--- a/crates/simulation/src/region/daemons.rs
+++ b/crates/simulation/src/region/daemons.rs
@@ -263,7 +263,7 @@
                 self.tell_gateway(id, GatewayEvent::Services(machines));
             }
             NodeAction::Configuration(configuration) => self.configure(id, configuration),
-            NodeAction::ReadLists(reading) => self.read_lists(id, reading),
+            NodeAction::Reading(reading) => self.read_lists(id, reading),
             NodeAction::Observe(share) => {
                 if let Some(process) = self.process(id) {
                     process.share = share;
