--- a/crates/ingress/src/coordination/calls.rs
+++ b/crates/ingress/src/coordination/calls.rs
@@ -1,5 +1,5 @@
-//! Calls to the store and to runners that the coordination asks for. Each is a task of its own; what it
-//! comes to goes back as an [`Event`].
+//! Calls to the store and to runners that the coordination makes. Each runs as its own task, which sends its result back
+//! as an [`Event`].
 
 use std::fmt::Display;
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
 use crate::state::Shared;
 use crate::unreadable::ObjectKind;
 
-/// What a call has come to.
+/// Result of a call.
 pub(super) enum Event {
     Lease(LeaseAnswer),
     Report {
@@ -36,8 +36,8 @@
     },
 }
 
-/// An order that goes to a runner.
-struct Sending {
+/// An order to be sent to a runner.
+struct OutgoingOrder {
     runner: RunnerId,
     address: SocketAddr,
     order: Order,
@@ -46,7 +46,7 @@
     term: u64,
 }
 
-/// Makes calls.
+/// Starts the calls.
 #[derive(Clone)]
 pub(super) struct Caller {
     pub shared: Arc<Shared>,
@@ -63,19 +63,21 @@
                 LeaseCall::Read => match store.lease().await {
                     Ok(LeaseReading::Found(lease)) => LeaseAnswer::Found(lease),
                     Ok(LeaseReading::Missing(era)) => LeaseAnswer::Missing(era),
-                    Err(error) => failed(&shared, error),
+                    Err(error) => failure_answer(&shared, error),
                 },
-                LeaseCall::Create(record) => changed(&shared, store.create_lease(&record).await),
+                LeaseCall::Create(record) => {
+                    change_answer(&shared, store.create_lease(&record).await)
+                }
                 LeaseCall::Replace(record, revision) => {
-                    changed(&shared, store.replace_lease(&record, revision).await)
+                    change_answer(&shared, store.replace_lease(&record, revision).await)
                 }
             };
             let _ = events.send(Event::Lease(answer));
         });
     }
 
-    /// Carries out what a plan under a term has decided.
-    pub fn carry_out(&self, action: Action, term: u64) {
+    /// Executes an action that was planned under a term.
+    pub fn execute(&self, action: Action, term: u64) {
         match action {
             Action::Report { runner, address } => self.read_report(runner, address, term),
             Action::Order {
@@ -84,7 +86,7 @@
                 order,
                 expected_count,
                 reason,
-            } => self.send_order(Sending {
+            } => self.send_order(OutgoingOrder {
                 runner,
                 address,
                 order,
@@ -109,42 +111,42 @@
         });
     }
 
-    fn send_order(&self, sending: Sending) {
+    fn send_order(&self, outgoing: OutgoingOrder) {
         let Self { shared, events } = self.clone();
-        log_order(&shared, &sending);
+        log_order(&shared, &outgoing);
         metrics::counter!(ORDERS.name).increment(1);
         tokio::spawn(async move {
             let fenced = FencedOrder {
-                runner: &sending.runner,
-                order: &sending.order,
-                expected_count: sending.expected_count,
+                runner: &outgoing.runner,
+                order: &outgoing.order,
+                expected_count: outgoing.expected_count,
                 holder: &shared.settings.name,
-                fence: sending.term,
+                fence: outgoing.term,
             };
-            let answer = shared.control.order(sending.address, &fenced).await;
+            let answer = shared.control.order(outgoing.address, &fenced).await;
             let _ = events.send(Event::Order {
-                runner: sending.runner,
+                runner: outgoing.runner,
                 answer,
-                order: sending.order,
-                term: sending.term,
+                order: outgoing.order,
+                term: outgoing.term,
             });
         });
     }
 }
 
-fn log_order(shared: &Shared, sending: &Sending) {
+fn log_order(shared: &Shared, outgoing: &OutgoingOrder) {
     let fields: &[(&str, &dyn Display)] = &[
-        ("runner", &sending.runner),
-        ("operation", &operation_name(sending.order.operation)),
-        ("unit", &sending.order.unit),
-        ("reason", &format!("{:?}", sending.reason)),
-        ("expected_count", &sending.expected_count),
-        ("term", &sending.term),
+        ("runner", &outgoing.runner),
+        ("operation", &operation_name(outgoing.order.operation)),
+        ("unit", &outgoing.order.unit),
+        ("reason", &format!("{:?}", outgoing.reason)),
+        ("expected_count", &outgoing.expected_count),
+        ("term", &outgoing.term),
     ];
     shared.log.write(shared.now(), "order-sent", fields);
 }
 
-/// Logs that another life of a runner has reported than the one that was asked, so that its report counts for nothing.
+/// Logs that a report came from another incarnation of the runner than the one that was asked, and is therefore ignored.
 pub(super) fn log_foreign_report(
     shared: &Shared,
     runner: &RunnerId,
@@ -160,7 +162,7 @@
         .write(shared.now(), "report-of-another-life", fields);
 }
 
-/// Logs that a report has settled an order, and what it says of the weight store.
+/// Logs that a report has settled an order, with the measurement of the weight store that follows from it.
 pub(super) fn log_settled(shared: &Shared, runner: &RunnerId, settled: &SettledOrder, term: u64) {
     let operation = operation_name(settled.order.operation);
     let mut fields: Vec<(&str, &dyn Display)> = vec![
@@ -184,7 +186,7 @@
     shared.log.write(shared.now(), "order-settled", &fields);
 }
 
-/// A measurement of the weight store as it is logged.
+/// A measurement of the weight store, as logged.
 struct SampleFields {
     took_ms: u128,
     promised_ms: u128,
@@ -203,7 +205,7 @@
     }
 }
 
-/// Name of an operation for the log.
+/// Name of an operation in the log.
 pub(super) fn operation_name(operation: Operation) -> &'static str {
     match operation {
         Operation::Load => "load",
@@ -211,17 +213,17 @@
     }
 }
 
-fn changed(shared: &Shared, result: Result<Changed, StoreError>) -> LeaseAnswer {
+fn change_answer(shared: &Shared, result: Result<Changed, StoreError>) -> LeaseAnswer {
     match result {
         Ok(Changed::Made(lease)) => LeaseAnswer::Written(lease),
         Ok(Changed::Conflict(lease)) => LeaseAnswer::Found(lease),
         Ok(Changed::Missing(era)) => LeaseAnswer::Missing(era),
-        Err(error) => failed(shared, error),
+        Err(error) => failure_answer(shared, error),
     }
 }
 
-/// What a call about the lease came to that has failed.
-fn failed(shared: &Shared, error: StoreError) -> LeaseAnswer {
+/// Outcome of a call about the lease that has failed; an unreadable lease is also recorded.
+fn failure_answer(shared: &Shared, error: StoreError) -> LeaseAnswer {
     let StoreError::UnreadableLease { lease, reason } = error else {
         return LeaseAnswer::Unknown;
     };
--- a/crates/ingress/src/coordination/configurations.rs
+++ b/crates/ingress/src/coordination/configuration_exchange.rs
@@ -1,4 +1,4 @@
-//! How configurations go from daemon to daemon.
+//! Exchange of configurations between daemons.
 
 use std::net::SocketAddr;
 
@@ -12,50 +12,50 @@
 use crate::state::Shared;
 use crate::watches::apply_configuration;
 
-/// What this daemon has told of and is told of configurations.
+/// State of the exchange of configurations with other daemons.
 #[derive(Debug, Default)]
-pub(super) struct Configurations {
-    /// The configuration in force here, in parts.
+pub(super) struct ConfigurationExchange {
+    /// The configuration in force on this daemon, split into parts.
     encoded: EncodedConfiguration,
     assembly: Option<Assembly>,
-    /// Who has told of a version that this daemon lacks, the newest word last.
-    tellers: Vec<(SocketAddr, u64)>,
+    /// Daemons that have announced a version newer than the one known here; the latest announcement is last.
+    announcers: Vec<(SocketAddr, u64)>,
 }
 
-/// Daemons that are asked at once.
-const ASKED: usize = 2;
+/// Number of daemons that are asked at the same time.
+const PARALLEL_REQUESTS: usize = 2;
 
-impl Configurations {
-    /// A daemon has told of a version.
-    pub fn told(&mut self, shared: &Shared, from: SocketAddr, version: u64) {
-        self.tellers.retain(|(teller, _)| *teller != from);
+impl ConfigurationExchange {
+    /// Records that a daemon has announced a version.
+    pub fn record_announcement(&mut self, shared: &Shared, from: SocketAddr, version: u64) {
+        self.announcers.retain(|(announcer, _)| *announcer != from);
         let known = shared.configuration().map_or(0, |known| known.version);
-        self.tellers.retain(|(_, version)| *version > known);
+        self.announcers.retain(|(_, version)| *version > known);
         if version > known {
-            self.tellers.push((from, version));
+            self.announcers.push((from, version));
         }
     }
 
-    /// Asks for a newer configuration, if somebody has told of one.
-    pub fn ask(&mut self, shared: &Shared, peers: &PeerSocket, own: SocketAddr) {
-        if self.tellers.is_empty() {
+    /// Requests a newer configuration if one has been announced.
+    pub fn request_newer(&mut self, shared: &Shared, peers: &PeerSocket, own: SocketAddr) {
+        if self.announcers.is_empty() {
             return;
         }
         self.encode(shared);
         let encoded = &self.encoded;
         let assembly = self.assembly.get_or_insert_with(|| Assembly::new(encoded));
         let parts = assembly.known();
-        for (teller, version) in self.tellers.iter().rev().take(ASKED) {
+        for (announcer, version) in self.announcers.iter().rev().take(PARALLEL_REQUESTS) {
             let wanted = ConfigurationWanted {
                 from: own,
                 version: *version,
                 parts: parts.clone(),
             };
-            peers.send(*teller, &Message::ConfigurationWanted(wanted));
+            peers.send(*announcer, &Message::ConfigurationWanted(wanted));
         }
     }
 
-    /// Answers a daemon that asks.
+    /// Answers another daemon's request for a configuration.
     pub fn answer(&mut self, shared: &Shared, peers: &PeerSocket, wanted: &ConfigurationWanted) {
         self.encode(shared);
         if self.encoded.version() < wanted.version {
@@ -66,8 +66,8 @@
         }
     }
 
-    /// Takes in a piece of a configuration.
-    pub fn take(&mut self, shared: &Shared, chunk: &ConfigurationChunk) {
+    /// Adds a chunk, and applies the configuration once it is complete.
+    pub fn apply_chunk(&mut self, shared: &Shared, chunk: &ConfigurationChunk) {
         let known = shared.configuration().map_or(0, |known| known.version);
         let Some(assembly) = self.assembly.as_mut().filter(|_| chunk.version > known) else {
             return;
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Cuts the configuration in force into parts, unless that is done.
+    /// Splits the configuration in force into parts, unless that has been done already.
     fn encode(&mut self, shared: &Shared) {
         let Some(configuration) = shared.configuration() else {
             return;
--- a/crates/ingress/src/coordination/crashes.rs
+++ b/crates/ingress/src/coordination/crashes.rs
@@ -1,4 +1,4 @@
-//! Tells other daemons under which requests runners crash, and which are in quarantine for that.
+//! Reports requests that crash runners to the other daemons, and exchanges the quarantine of such requests with them.
 
 use std::net::SocketAddr;
 
@@ -9,14 +9,14 @@
 use super::Coordination;
 
 impl Coordination {
-    /// When something is due at the latest, if anything will be.
+    /// Latest time at which the next run report is due, if any is pending.
     pub(super) fn next_run_report(&self) -> Option<Timestamp> {
         self.quarantine.next_report()
     }
 
-    /// Tells the keepers what came of runs that say something, and all daemons what is in quarantine, if this daemon is
-    /// to. It is called at each message, so nothing here goes through the members without need.
-    pub(super) fn tell_quarantine(&mut self, now: Timestamp) {
+    /// Sends relevant run results to the keepers and, if this daemon is a coordinator or keeper, the quarantine to all
+    /// daemons. It is called for each message, so it iterates over the members only when there is something to send.
+    pub(super) fn announce_quarantine(&mut self, now: Timestamp) {
         let keepers = self.quotas.keepers().to_vec();
         self.report_runs(&keepers, now);
         let record = self
@@ -25,19 +25,20 @@
         if let Some(record) = record {
             self.lease.set_quarantine(record);
         }
-        // A deputy does not wait for the coordinator, which may be lost at this very moment: each send costs a runner.
-        if self.leading.is_none() && !keepers.contains(&self.address) {
+        // A deputy does not wait for the coordinator, which may be failing at this moment: each further dispatch of a
+        // crashing request costs a runner.
+        if self.leader.is_none() && !keepers.contains(&self.address) {
             return;
         }
-        let news = self
+        let announcement = self
             .quarantine
             .announcement(&self.shared.tables().quarantine, now);
-        if let Some(news) = news {
-            let members = match &self.leading {
-                Some(leading) => leading.member_addresses(now),
-                None => self.following.members().to_vec(),
+        if let Some(announcement) = announcement {
+            let members = match &self.leader {
+                Some(leader) => leader.member_addresses(now),
+                None => self.follower.members().to_vec(),
             };
-            self.send_to_others(&members, &Message::QuarantineNews(news));
+            self.send_to_others(&members, &Message::QuarantineNews(announcement));
         }
     }
 
@@ -51,26 +52,28 @@
         }
     }
 
-    /// Compares the quarantine with the digest that a coordinator or standby has told.
+    /// Compares the quarantine with the digest that a coordinator or standby has announced.
     pub(super) fn compare_quarantine(&mut self, from: SocketAddr, digest: u64) {
         let now = self.shared.now();
-        let news = self
+        let announcement = self
             .quarantine
             .compare(&self.shared.tables().quarantine, digest, now);
-        if let Some(news) = news {
-            self.peers.send(from, &Message::QuarantineNews(news));
+        if let Some(announcement) = announcement {
+            self.peers
+                .send(from, &Message::QuarantineNews(announcement));
         }
     }
 
-    /// Takes in what another daemon holds in quarantine.
-    pub(super) fn heard_quarantine(&mut self, news: &QuarantineNews) {
+    /// Merges the quarantine entries of another daemon.
+    pub(super) fn merge_quarantine(&mut self, announcement: &QuarantineNews) {
         let now = self.shared.now();
-        self.shared.take_quarantine(&news.entries, "daemon");
+        self.shared.take_quarantine(&announcement.entries, "daemon");
         let answer = self
             .quarantine
-            .answer(&self.shared.tables().quarantine, news, now);
+            .answer(&self.shared.tables().quarantine, announcement, now);
         if let Some(answer) = answer {
-            self.peers.send(news.from, &Message::QuarantineNews(answer));
+            self.peers
+                .send(announcement.from, &Message::QuarantineNews(answer));
         }
     }
 }
--- a/crates/ingress/src/coordination/following.rs
+++ b/crates/ingress/src/coordination/follower.rs
@@ -1,4 +1,4 @@
-//! A member's side: what it tells the coordinator, and what it takes in from it.
+//! Member role: what this daemon reports to the coordinator, and how it applies the coordinator's directions.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,13 +13,13 @@
 use crate::state::{Shared, Tables};
 use crate::watches::take_membership;
 
-/// Time between two messages with all that requests use.
+/// Time between two messages with the full usage.
 const USAGE_INTERVAL: Duration = Duration::from_secs(1);
 /// Time between two messages while requests wait.
 const WAITING_INTERVAL: Duration = Duration::from_millis(300);
-/// Shortest time between two messages, so that a burst is one message.
-const NOTICE_PAUSE: Duration = Duration::from_millis(20);
-/// Term of no coordinator.
+/// Minimum time between two messages, so that a burst of requests causes one message.
+const MIN_NOTICE_INTERVAL: Duration = Duration::from_millis(20);
+/// Term that no coordinator has.
 const NO_TERM: u64 = 0;
 
 /// The coordinator as this daemon knows it.
@@ -27,10 +27,10 @@
     address: SocketAddr,
     term: u64,
     holdings_version: u64,
-    /// It has told this daemon something.
-    is_heard: bool,
+    /// This daemon has received a direction from it.
+    has_answered: bool,
     handshake: Handshake,
-    /// It was sent digests of what this daemon knows.
+    /// It has been sent digests of the holdings known here.
     has_summary: bool,
 }
 
@@ -40,14 +40,14 @@
             address,
             term,
             holdings_version: 0,
-            is_heard: false,
+            has_answered: false,
             handshake: Handshake::Due,
             has_summary: false,
         }
     }
 
-    /// The term to which this daemon says that its knowledge belongs. A coordinator may go by what it has told an earlier
-    /// process of this daemon, and begins anew with a member that names another term than its own.
+    /// The term that this daemon reports for its state. A coordinator may still assume what it has sent to an earlier
+    /// process of this daemon; it starts over with a member that names a term other than its own.
     fn acknowledged_term(&self) -> u64 {
         match self.handshake {
             Handshake::Due | Handshake::Sent => NO_TERM,
@@ -55,50 +55,50 @@
         }
     }
 
-    /// It was sent what this process knows.
+    /// Records that the coordinator was sent the state of this process.
     fn note_sent(&mut self) {
         if self.handshake == Handshake::Due {
             self.handshake = Handshake::Sent;
         }
     }
 
-    /// It has told what runners hold, to a member that knew it up to a version.
-    fn note_told_after(&mut self, version: u64) {
+    /// Records that the coordinator has sent the holdings that follow a version.
+    fn note_holdings_after(&mut self, version: u64) {
         if self.handshake == Handshake::Sent && version == 0 {
             self.handshake = Handshake::Done;
         }
     }
 }
 
-/// How far a coordinator knows that this process has been told nothing.
+/// Progress of making a coordinator aware that this process has received no holdings yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Handshake {
-    /// It was not sent anything.
+    /// The coordinator has not been sent anything.
     Due,
-    /// It was sent what this process knows.
+    /// The coordinator has been sent the state of this process.
     Sent,
-    /// It tells this process what runners hold from the beginning on.
+    /// The coordinator sends this process the holdings from the beginning.
     Done,
 }
 
-/// What this daemon knows of its coordinator, and when that one heard of it.
-pub(super) struct Following {
+/// What this daemon knows of its coordinator, and when it last sent it a message.
+pub(super) struct Follower {
     own_address: SocketAddr,
     coordinator: Option<Coordinator>,
-    /// Where the members heard the last coordinator.
+    /// Addresses of the members, as the last coordinator announced them.
     members: Vec<SocketAddr>,
-    /// Daemons through which the last coordinator may be reached when it is not heard.
+    /// Daemons that can relay messages to the last coordinator while it is silent.
     relays: Vec<SocketAddr>,
-    /// Bounds on loads from the weight store that the last coordinator has found.
+    /// Limits on loads from the weight store, as determined by the last coordinator.
     store_limits: Vec<StoreLimit>,
-    usage_at: Timestamp,
-    message_at: Timestamp,
-    wants_notice: bool,
+    usage_sent_at: Timestamp,
+    message_sent_at: Timestamp,
+    is_notice_scheduled: bool,
     has_gap: bool,
 }
 
-impl Following {
-    /// A daemon that knows of no coordinator yet.
+impl Follower {
+    /// A follower that does not know a coordinator yet.
     pub fn new(own_address: SocketAddr) -> Self {
         Self {
             own_address,
@@ -106,71 +106,71 @@
             members: Vec::new(),
             relays: Vec::new(),
             store_limits: Vec::new(),
-            usage_at: Timestamp::ZERO,
-            message_at: Timestamp::ZERO,
-            wants_notice: false,
+            usage_sent_at: Timestamp::ZERO,
+            message_sent_at: Timestamp::ZERO,
+            is_notice_scheduled: false,
             has_gap: false,
         }
     }
 
-    /// Where the coordinator listens, if one is known.
+    /// Address of the coordinator, if one is known.
     pub fn coordinator(&self) -> Option<SocketAddr> {
         self.coordinator.as_ref().map(|it| it.address)
     }
 
-    /// Where all members listen, as far as they are known.
+    /// Addresses of all known members.
     pub fn members(&self) -> &[SocketAddr] {
         &self.members
     }
 
-    /// Daemons through which the coordinator may be reached when it is not heard.
+    /// Daemons that can relay messages to the coordinator while it is silent.
     pub fn relays(&self) -> &[SocketAddr] {
         &self.relays
     }
 
-    /// Bounds on loads from the weight store that the last coordinator has found.
+    /// Limits on loads from the weight store, as determined by the last coordinator.
     pub fn store_limits(&self) -> &[StoreLimit] {
         &self.store_limits
     }
 
-    /// Knows of no coordinator any more.
+    /// Forgets the coordinator.
     pub fn forget(&mut self) {
         self.coordinator = None;
     }
 
-    /// Turns to a coordinator, unless a later one is known. Returns whether it did.
+    /// Follows a coordinator, unless one with a later term is known. Returns whether it did.
     pub fn follow(&mut self, address: SocketAddr, term: u64) -> bool {
         let known = self.coordinator.as_ref().map_or(0, |known| known.term);
         if term <= known {
             return false;
         }
         self.coordinator = Some(Coordinator::new(address, term));
-        // The new coordinator must hear of this daemon.
-        self.usage_at = Timestamp::ZERO;
+        // The new coordinator does not know this daemon yet.
+        self.usage_sent_at = Timestamp::ZERO;
         true
     }
 
-    /// A request has begun to wait, so the coordinator should soon hear of it.
-    pub fn want_notice(&mut self) {
-        self.wants_notice = true;
+    /// Schedules a message to the coordinator, since a request has begun to wait.
+    pub fn schedule_notice(&mut self) {
+        self.is_notice_scheduled = true;
     }
 
     /// When the next message to the coordinator is due.
     pub fn next_message(&self, shared: &Shared) -> Timestamp {
-        let usage = self.usage_at + USAGE_INTERVAL;
-        if self.wants_notice {
-            return usage.min(self.message_at + NOTICE_PAUSE);
+        let usage = self.usage_sent_at + USAGE_INTERVAL;
+        if self.is_notice_scheduled {
+            return usage.min(self.message_sent_at + MIN_NOTICE_INTERVAL);
         }
-        let waits = !shared.tables().waiting.is_empty();
-        if waits || self.is_unanswered() {
-            return usage.min(self.message_at + WAITING_INTERVAL);
+        let has_waiting = !shared.tables().waiting.is_empty();
+        if has_waiting || self.is_awaiting_answer() {
+            return usage.min(self.message_sent_at + WAITING_INTERVAL);
         }
         usage
     }
 
-    /// Whether the coordinator has not been heard yet: it may have missed what it was told, or not have begun.
-    fn is_unanswered(&self) -> bool {
-        self.coordinator.as_ref().is_some_and(|it| !it.is_heard)
+    /// Whether the coordinator has not answered yet: it may have missed the messages, or not have started to coordinate.
+    fn is_awaiting_answer(&self) -> bool {
+        self.coordinator.as_ref().is_some_and(|it| !it.has_answered)
     }
 
     /// The message that is due, if there is a coordinator.
@@ -178,13 +178,13 @@
         if now < self.next_message(shared) {
             return None;
         }
-        self.wants_notice = false;
-        self.message_at = now;
+        self.is_notice_scheduled = false;
+        self.message_sent_at = now;
         let has_gap = std::mem::take(&mut self.has_gap);
-        let is_usage_due = now >= self.usage_at + USAGE_INTERVAL || self.is_unanswered();
+        let is_usage_due = now >= self.usage_sent_at + USAGE_INTERVAL || self.is_awaiting_answer();
         let is_usage = !has_gap && is_usage_due;
         if is_usage {
-            self.usage_at = now;
+            self.usage_sent_at = now;
         }
         let mut tables = shared.tables();
         let known = self.known(&tables)?;
@@ -212,8 +212,9 @@
         }))
     }
 
-    /// Digests of what this daemon knows of what runners hold: for each coordinator until it has begun to tell them, as soon as
-    /// there is a list of runners. They are sent before the next message, which makes the coordinator tell what differs.
+    /// Digests of the holdings known here. They are sent to each coordinator, from when there is a list of runners until the
+    /// coordinator has started to send holdings. They precede the next message, which makes the coordinator send only the
+    /// differences.
     pub fn due_summary(&mut self, shared: &Shared) -> Option<Message> {
         let coordinator = self.coordinator.as_mut()?;
         let mut tables = shared.tables();
@@ -230,7 +231,7 @@
         }))
     }
 
-    /// What this daemon knows; `None` if it knows of no coordinator.
+    /// The state known here; `None` if no coordinator is known.
     fn known(&self, tables: &Tables) -> Option<KnownState> {
         let coordinator = self.coordinator.as_ref()?;
         let runners_revision = if tables.runners_known {
@@ -247,14 +248,14 @@
         })
     }
 
-    /// Takes in what the coordinator tells, in a message that came no earlier than at a time. `leads` says that this
-    /// daemon is the coordinator.
-    pub fn take_direction(
+    /// Applies a direction of the coordinator, from a message that arrived no earlier than `earliest_arrival`. `leads` is
+    /// true if this daemon is the coordinator.
+    pub fn apply_direction(
         &mut self,
         shared: &Shared,
         mut direction: Direction,
         leads: bool,
-        came_after: Timestamp,
+        earliest_arrival: Timestamp,
     ) {
         let now = shared.now();
         let Some(coordinator) = &mut self.coordinator else {
@@ -263,7 +264,7 @@
         if coordinator.term != direction.term {
             return;
         }
-        coordinator.is_heard = true;
+        coordinator.has_answered = true;
         let known = direction.store.membership_revision;
         let lacks_runners = direction
             .membership
@@ -275,7 +276,7 @@
                 StandbyPlace::None => shared.set_watch_role(WatchRole::Member),
                 StandbyPlace::Place(place) => shared.set_watch_role(WatchRole::Standby(place)),
             }
-            shared.hear_store(direction.address, &direction.store, came_after);
+            shared.hear_store(direction.address, &direction.store, earliest_arrival);
         }
         if let Some(members) = direction.members {
             self.members = members;
@@ -286,7 +287,7 @@
         if let Some(limits) = direction.store_limits {
             self.store_limits = limits;
         }
-        coordinator.note_told_after(direction.holdings_after);
+        coordinator.note_holdings_after(direction.holdings_after);
         let follows = coordinator.holdings_version >= direction.holdings_after;
         shared.set_daemons(direction.daemons);
         let mut tables = shared.tables();
@@ -298,9 +299,9 @@
         }
         if lacks_runners || !follows {
             self.has_gap = true;
-            self.wants_notice = true;
+            self.is_notice_scheduled = true;
         }
-        let has_news = follows && !direction.holdings.is_empty();
+        let has_new_holdings = follows && !direction.holdings.is_empty();
         if follows {
             for holdings in direction.holdings {
                 tables.runners.record_holdings(holdings, now);
@@ -310,7 +311,7 @@
         }
         drop(tables);
         shared.tell_outlooks(direction.outlooks);
-        if has_news {
+        if has_new_holdings {
             shared.changed.notify_waiters();
         }
     }
--- a/crates/ingress/src/coordination/leading.rs
+++ b/crates/ingress/src/coordination/leader.rs
@@ -1,4 +1,4 @@
-//! The coordinator's work while this daemon's lease holds: when it plans, and what it takes in.
+//! Coordinator role while this daemon holds the lease: schedules plans, and records what the members report.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,23 +15,23 @@
 
 use crate::state::{Shared, Tables};
 
-/// Time between two plans if nothing has happened.
+/// Time between two plans if nothing triggers one earlier.
 const PLAN_INTERVAL: Duration = Duration::from_millis(100);
-/// Shortest time between the end of a plan and the next one.
-const LEAST_PLAN_PAUSE: Duration = Duration::from_millis(15);
-/// Longest time between the end of a plan and the next one.
-const LONGEST_PLAN_PAUSE: Duration = Duration::from_millis(500);
-/// Pause after a plan, in times that the plan took: a weak machine also serves requests.
+/// Minimum time between the end of a plan and the next one.
+const MIN_PLAN_PAUSE: Duration = Duration::from_millis(15);
+/// Maximum time between the end of a plan and the next one.
+const MAX_PLAN_PAUSE: Duration = Duration::from_millis(500);
+/// Pause after a plan, as a multiple of the plan's duration: a slow machine must also serve requests.
 const PLAN_PAUSE_FACTOR: u32 = 3;
 
-/// Time between two announcements to members that are not heard yet.
+/// Time between two announcements to members that have not reported yet.
 const ANNOUNCEMENT_INTERVAL: Duration = Duration::from_millis(500);
-/// Time after the beginning in which members may not have been heard yet.
-const NEW_FOR: Duration = Duration::from_secs(4);
+/// Time after the start of a term in which some members may not have reported yet.
+const STARTUP_PERIOD: Duration = Duration::from_secs(4);
 
-/// What the placement was last given of the tables.
+/// Versions of the tables that the placement was last given.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Taken {
+struct PlacementInputs {
     runner_changes: u64,
     configuration_version: u64,
     evacuations_revision: u64,
@@ -39,7 +39,7 @@
 }
 
 /// This daemon's coordination under one term.
-pub(super) struct Leading {
+pub(super) struct Leader {
     pub term: u64,
     pub placement: Placement,
     /// Permits for requests to cold runners.
@@ -48,15 +48,15 @@
     plan_due: Timestamp,
     /// Earliest time of the next plan.
     plan_allowed: Timestamp,
-    taken: Option<Taken>,
-    /// What was known of the runners before was taken in.
-    has_beliefs: bool,
-    begun_at: Timestamp,
+    placement_inputs: Option<PlacementInputs>,
+    /// The holdings known from before this term have been given to the placement.
+    has_assumed_holdings: bool,
+    started_at: Timestamp,
     announced_at: Timestamp,
 }
 
-impl Leading {
-    /// Coordination that begins now, on a link of a speed in Mbit/s.
+impl Leader {
+    /// Starts coordinating now, on a link of `link` Mbit/s.
     pub fn new(term: u64, placement: Placement, link: u32, now: Timestamp) -> Self {
         Self {
             term,
@@ -65,29 +65,29 @@
             dissemination: Dissemination::new(term, link, now),
             plan_due: now,
             plan_allowed: now,
-            taken: None,
-            has_beliefs: false,
-            begun_at: now,
+            placement_inputs: None,
+            has_assumed_holdings: false,
+            started_at: now,
             announced_at: now,
         }
     }
 
-    /// Whether members that are not heard yet are to be told again of this coordination: they may have started after
-    /// it began. Returns true once for each time.
+    /// Whether this coordinator must be announced again to members that have not reported yet: they may have started after
+    /// the term began. Returns true once per interval.
     pub fn is_announcement_due(&mut self, now: Timestamp) -> bool {
-        let is_due = self.is_new(now) && now.since(self.announced_at) >= ANNOUNCEMENT_INTERVAL;
+        let is_due = self.is_starting(now) && now.since(self.announced_at) >= ANNOUNCEMENT_INTERVAL;
         if is_due {
             self.announced_at = now;
         }
         is_due
     }
 
-    /// Whether members may not have been heard yet.
-    pub fn is_new(&self, now: Timestamp) -> bool {
-        now.since(self.begun_at) < NEW_FOR
+    /// Whether some members may not have reported yet.
+    pub fn is_starting(&self, now: Timestamp) -> bool {
+        now.since(self.started_at) < STARTUP_PERIOD
     }
 
-    /// Number of members that are heard.
+    /// Number of members that have reported.
     pub fn member_count(&self, now: Timestamp) -> usize {
         self.placement.members(now).len()
     }
@@ -97,33 +97,33 @@
         self.plan_due
     }
 
-    /// Something has happened that the next plan should take in soon.
-    pub fn plan_soon(&mut self, now: Timestamp) {
+    /// Schedules the next plan for as soon as the pause after the last one allows.
+    pub fn schedule_plan(&mut self, now: Timestamp) {
         self.plan_due = self.plan_due.min(self.plan_allowed.max(now));
     }
 
-    /// Takes in what a member uses.
-    pub fn heard_usage(&mut self, usage: Usage, now: Timestamp) {
+    /// Records the usage of a member.
+    pub fn record_usage(&mut self, usage: Usage, now: Timestamp) {
         let is_new = self
             .dissemination
             .record_known_state(&usage.from, usage.known, now);
-        let waits = !usage.waiting.is_empty();
-        if waits {
+        let has_waiting = !usage.waiting.is_empty();
+        if has_waiting {
             self.dissemination.schedule_message(&usage.from);
         }
-        if is_new || waits {
-            self.plan_soon(now);
+        if is_new || has_waiting {
+            self.schedule_plan(now);
         }
         self.placement.update_usage(usage, now);
     }
 
-    /// Takes in what a member knows of what runners hold.
-    pub fn heard_summary(&mut self, summary: HoldingsSummary, now: Timestamp) {
+    /// Records the digests of the holdings that a member knows.
+    pub fn record_summary(&mut self, summary: HoldingsSummary, now: Timestamp) {
         self.dissemination.record_summary(summary, now);
     }
 
-    /// Takes in what a member's requests wait for.
-    pub fn heard_waiting(&mut self, notice: WaitNotice, now: Timestamp) {
+    /// Records what a member's requests wait for.
+    pub fn record_waiting(&mut self, notice: WaitNotice, now: Timestamp) {
         let member = &notice.from;
         self.dissemination
             .record_known_state(member, notice.known, now);
@@ -132,27 +132,27 @@
         }
         self.dissemination.schedule_message(member);
         self.placement.update_waiting(notice, now);
-        self.plan_soon(now);
+        self.schedule_plan(now);
     }
 
-    /// Decides on orders and reports.
+    /// Decides which orders to send and which reports to read.
     pub fn plan(&mut self, shared: &Shared, now: Timestamp) -> Vec<Action> {
         let configuration = shared.configuration();
         if let Some(configuration) = &configuration {
             self.placement.configure(configuration);
         }
         let tables = shared.tables();
-        let present = Taken {
+        let inputs = PlacementInputs {
             runner_changes: tables.runners.change_count(),
             configuration_version: configuration.map_or(0, |it| it.version),
             evacuations_revision: tables.evacuations.revision,
             leave_count: tables.notices.leave_count(),
         };
-        if tables.runners_known && self.taken != Some(present) {
-            self.taken = Some(present);
-            self.place_at_runners(&tables);
-            if !self.has_beliefs {
-                self.has_beliefs = true;
+        if tables.runners_known && self.placement_inputs != Some(inputs) {
+            self.placement_inputs = Some(inputs);
+            self.update_runners(&tables);
+            if !self.has_assumed_holdings {
+                self.has_assumed_holdings = true;
                 self.placement.assume_holdings(&tables.runners);
             }
         }
@@ -161,9 +161,10 @@
         self.placement.plan(now)
     }
 
-    /// Takes in the list of runners. Nothing is loaded in an evacuated zone, as at a runner that leaves; one may have said so
-    /// in its answers before the list does.
-    fn place_at_runners(&mut self, tables: &Tables) {
+    /// Gives the placement the list of runners. Runners in an evacuated zone count as draining, as do runners that are
+    /// leaving, so that nothing is loaded there; a runner may announce in its answers that it is leaving before the list
+    /// shows it.
+    fn update_runners(&mut self, tables: &Tables) {
         let Tables {
             evacuations,
             notices,
@@ -172,7 +173,7 @@
         let mut leaving = notices.leaving();
         let has_leaving = leaving.any(|id| tables.runners.get(id).is_some());
         if evacuations.zones.is_empty() && !has_leaving {
-            // Thousands of runners are not copied without need.
+            // Avoids copying thousands of runners.
             self.placement.set_runners(tables.runners.iter());
             return;
         }
@@ -189,10 +190,10 @@
         self.placement.set_runners(placed.iter());
     }
 
-    /// A plan that began at a time is carried out; sets when the next one is due.
-    pub fn planned(&mut self, begun: Timestamp, now: Timestamp) {
-        let pause = now.since(begun) * PLAN_PAUSE_FACTOR;
-        let pause = pause.clamp(LEAST_PLAN_PAUSE, LONGEST_PLAN_PAUSE);
+    /// Records that a plan has been executed, and sets when the next one is due.
+    pub fn finish_plan(&mut self, started_at: Timestamp, now: Timestamp) {
+        let pause = now.since(started_at) * PLAN_PAUSE_FACTOR;
+        let pause = pause.clamp(MIN_PLAN_PAUSE, MAX_PLAN_PAUSE);
         self.plan_allowed = now + pause;
         self.plan_due = now + PLAN_INTERVAL.max(pause);
         if let Some(expected) = self.placement.next_expected_completion() {
@@ -216,7 +217,7 @@
         self.placement.strongest_member()
     }
 
-    /// What the members are to be told now.
+    /// The messages that are due to the members now.
     pub fn messages(
         &mut self,
         shared: &Shared,
@@ -236,7 +237,7 @@
     }
 }
 
-/// What a coordinator tells every member alike, before it has heard of them.
+/// The part of a direction that is the same for every member; it needs no report of the member.
 pub(super) fn header(
     shared: &Shared,
     lease: LeaseHeartbeat,
--- a/crates/ingress/src/coordination/lease_changes.rs
+++ b/crates/ingress/src/coordination/lease_changes.rs
@@ -1,4 +1,4 @@
-//! What happens when this daemon gets or loses the lease, or hears of another holder.
+//! Handles changes of the lease: this daemon acquires or loses it, or learns of another holder.
 
 use std::fmt::Display;
 use std::net::SocketAddr;
@@ -10,7 +10,7 @@
 use flaxward_types::time::Timestamp;
 
 use super::Coordination;
-use super::leading::{self, Leading};
+use super::leader::{self, Leader};
 
 impl Coordination {
     pub(super) fn lease_changed(&mut self, change: &LeaseChange) {
@@ -22,7 +22,7 @@
         }
     }
 
-    /// This daemon coordinates from now on, and watches the store for all.
+    /// Starts coordinating under a term, and watches the store for all members.
     pub(super) fn begin_leading(&mut self, term: u64, orders_from: Timestamp) {
         let now = self.shared.now();
         let placement = Placement::new(self.shared.settings.placement, now, orders_from);
@@ -32,51 +32,51 @@
         if let Some(configuration) = self.shared.configuration() {
             placement.configure(&configuration);
         }
-        placement.inherit_store_limits(self.following.store_limits(), now);
+        placement.inherit_store_limits(self.follower.store_limits(), now);
         self.shared.set_watch_role(WatchRole::Coordinator);
-        self.announce();
+        self.announce_leadership();
         let link = self.shared.settings.strength.link;
-        self.leading = Some(Leading::new(term, placement, link, now));
+        self.leader = Some(Leader::new(term, placement, link, now));
         self.log_lease("lease-acquired", term);
         self.follow(self.address, term);
     }
 
-    /// This daemon coordinates no longer. The standbys need not wait until it is silent.
+    /// Stops coordinating. The standbys are notified, so that they need not wait for the heartbeats to time out.
     pub(super) fn end_leading(&mut self, term: u64, reason: LossReason) {
         let now = self.shared.now();
         self.shared.tables().loads.clear();
         self.shared.set_watch_role(WatchRole::Member);
-        if let Some(leading) = self.leading.take() {
-            self.holdings_version = leading.placement.version();
-            for address in leading.standby_addresses(now) {
+        if let Some(leader) = self.leader.take() {
+            self.holdings_version = leader.placement.version();
+            for address in leader.standby_addresses(now) {
                 self.peers.send(address, &Message::LeaseEnded { term });
             }
         }
-        self.following.forget();
+        self.follower.forget();
         let fields: &[(&str, &dyn Display)] =
             &[("term", &term), ("reason", &format!("{reason:?}"))];
         self.shared.log.write(now, "lease-lost", fields);
     }
 
-    /// Tells the members that this daemon knows and has not heard yet that it coordinates.
-    pub(super) fn announce(&mut self) {
+    /// Announces to the known members that have not reported yet that this daemon coordinates.
+    pub(super) fn announce_leadership(&mut self) {
         let now = self.shared.now();
-        let Some(pulse) = self.lease.heartbeat(now) else {
+        let Some(heartbeat) = self.lease.heartbeat(now) else {
             return;
         };
-        let quota = self.quotas.news(&[], self.shared.daemons(), now);
-        let header = leading::header(&self.shared, pulse, self.address, &quota);
-        let heard = match &self.leading {
-            Some(leading) => leading.member_addresses(now),
+        let quota = self.quotas.announcement(&[], self.shared.daemons(), now);
+        let header = leader::header(&self.shared, heartbeat, self.address, &quota);
+        let reporting = match &self.leader {
+            Some(leader) => leader.member_addresses(now),
             None => Vec::new(),
         };
-        let mut members = self.following.members().to_vec();
+        let mut members = self.follower.members().to_vec();
         if members.is_empty() {
             members = self.lease.recorded_members().to_vec();
         }
-        let is_unheard =
-            |address: &&SocketAddr| **address != self.address && !heard.contains(*address);
-        for address in members.iter().filter(is_unheard) {
+        let has_not_reported =
+            |address: &&SocketAddr| **address != self.address && !reporting.contains(*address);
+        for address in members.iter().filter(has_not_reported) {
             self.peers
                 .send(*address, &Message::Direction(Box::new(header.clone())));
         }
@@ -87,11 +87,11 @@
         self.shared.log.write(self.shared.now(), event, fields);
     }
 
-    /// Turns to a coordinator, unless a later one is known.
+    /// Follows a coordinator, unless one with a later term is known.
     pub(super) fn follow(&mut self, address: SocketAddr, term: u64) {
-        if self.following.follow(address, term) {
-            // It has not been silent: it was not known.
-            self.coordinator_heard_at = self.shared.now();
+        if self.follower.follow(address, term) {
+            // Its silence is counted from now: before this, it was not known.
+            self.coordinator_seen_at = self.shared.now();
             self.log_lease("coordinator-known", term);
         }
     }
--- a/crates/ingress/src/coordination/mod.rs
+++ b/crates/ingress/src/coordination/mod.rs
@@ -1,17 +1,16 @@
-//! This daemon's part in deciding what is loaded where: it holds the lease if it can, tells the
-//! coordinator what its requests need, and carries out what the placement decides while it
-//! coordinates itself.
+//! This daemon's part in coordinating what is loaded on which runner. It competes for the lease, reports to the
+//! coordinator what its requests need and, while it is the coordinator itself, executes the decisions of the placement.
 
 mod calls;
-mod configurations;
+mod configuration_exchange;
 mod crashes;
-mod following;
-mod informing;
-mod leading;
+mod follower;
+mod leader;
 mod lease_changes;
 mod notices;
 mod permits;
 mod quotas;
+mod standby;
 
 use std::collections::HashSet;
 use std::fmt::Display;
@@ -40,56 +39,58 @@
 use crate::watches::{take_evacuations, take_membership};
 
 use calls::{Caller, Event, log_foreign_report, log_settled, operation_name};
-use configurations::Configurations;
-use following::Following;
-use informing::Informing;
-use leading::Leading;
-use permits::heard_permit_answers;
+use configuration_exchange::ConfigurationExchange;
+use follower::Follower;
+use leader::Leader;
+use permits::apply_permit_answers;
 use quotas::Quotas;
+use standby::StandbyAnnouncer;
 
-/// Time between two looks at which tenants are near their limit. A coordinator is woken by each message of its members,
-/// and a look goes through all of them, so that one at each message would cost their number squared.
+/// Time between two checks of which tenants are near their limit. A coordinator is woken by each message of its members,
+/// and a check iterates over all of them, so a check at each message would cost the square of their number.
 const LIMITS_INTERVAL: Duration = Duration::from_millis(40);
-/// Shortest suspension that is noticed; readings of two clocks differ by what lies between them.
-const LEAST_SUSPENSION: Duration = Duration::from_millis(200);
-/// Addresses and reasons that are remembered as logged, at most. Once there are more, all are forgotten and may be logged
-/// again.
+/// Shortest suspension that is detected: the two clocks are not read at the same instant, so their readings always differ
+/// by the time between the reads.
+const MIN_SUSPENSION: Duration = Duration::from_millis(200);
+/// Maximum number of address and reason pairs that are remembered as logged. When it is reached, all are forgotten and
+/// may be logged again.
 const MAX_NOT_UNDERSTOOD: usize = 1_024;
-/// Time between looks at the lease while this daemon does not coordinate.
+/// Maximum time between two iterations of the loop, and so between two polls of the lease while this daemon does not
+/// coordinate.
 const IDLE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The task of the coordination.
+/// The coordination task.
 pub(crate) struct Coordination {
     shared: Arc<Shared>,
     peers: PeerSocket,
     address: SocketAddr,
     lease: LeaseStateMachine,
-    following: Following,
-    leading: Option<Leading>,
-    informing: Informing,
+    follower: Follower,
+    leader: Option<Leader>,
+    standby: StandbyAnnouncer,
     caller: Caller,
     queue: mpsc::UnboundedReceiver<Event>,
-    store_fails: bool,
+    is_store_failing: bool,
     quotas: Quotas,
     quarantine: QuarantineExchange,
-    configurations: Configurations,
+    configurations: ConfigurationExchange,
     arrivals: ArrivalBound,
-    /// When the coordinator was last heard, in whatever way.
-    coordinator_heard_at: Timestamp,
-    /// Through which daemon it is heard, if not directly.
-    coordinator_through: Option<SocketAddr>,
-    /// The last version of the holdings that this daemon has told while it coordinated.
+    /// When a message of the coordinator last arrived, by any route.
+    coordinator_seen_at: Timestamp,
+    /// The daemon that relays its messages, if they do not arrive directly.
+    coordinator_relay: Option<SocketAddr>,
+    /// The last version of the holdings that this daemon announced while it coordinated.
     holdings_version: u64,
-    /// When the limits of tenants were looked at.
-    limits_at: Timestamp,
-    /// Time for which the machine was suspended, as far as that was noticed.
+    /// When the limits of tenants were last checked.
+    limits_checked_at: Timestamp,
+    /// Total time for which the machine was suspended, as far as it was detected.
     suspended: Duration,
-    /// Whom this build does not understand and why, as logged.
-    not_understood: HashSet<(SocketAddr, String)>,
+    /// Senders of messages that this build can't decode, with the reasons, as logged.
+    logged_not_understood: HashSet<(SocketAddr, String)>,
 }
 
 impl Coordination {
-    /// Coordination of a daemon that knows of no coordinator yet.
+    /// Coordination of a daemon that does not know a coordinator yet.
     ///
     /// # Errors
     /// Fails if the socket has no address.
@@ -111,24 +112,24 @@
         Ok(Self {
             quotas: Quotas::new(address, now),
             quarantine: QuarantineExchange::new(address),
-            configurations: Configurations::default(),
+            configurations: ConfigurationExchange::default(),
             arrivals: ArrivalBound::new(now),
-            coordinator_heard_at: now,
-            coordinator_through: None,
+            coordinator_seen_at: now,
+            coordinator_relay: None,
             holdings_version: 0,
-            limits_at: now,
+            limits_checked_at: now,
             suspended: Duration::ZERO,
-            not_understood: HashSet::new(),
-            following: Following::new(address),
+            logged_not_understood: HashSet::new(),
+            follower: Follower::new(address),
             shared,
             peers,
             address,
             lease,
-            leading: None,
-            informing: Informing::default(),
+            leader: None,
+            standby: StandbyAnnouncer::default(),
             caller,
             queue,
-            store_fails: false,
+            is_store_failing: false,
         })
     }
 
@@ -143,18 +144,18 @@
             tokio::select! {
                 received = self.peers.receive() => {
                     match received {
-                        Ok(Some(received)) => self.take_datagram(received),
+                        Ok(Some(received)) => self.handle_datagram(received),
                         Ok(None) => {}
-                        Err(other) => self.not_understood(&other),
+                        Err(other) => self.log_not_understood(&other),
                     }
                 }
-                Some(event) = self.queue.recv() => self.happened(event),
-                () = shared.demand.notified() => self.following.want_notice(),
+                Some(event) = self.queue.recv() => self.handle_event(event),
+                () = shared.demand.notified() => self.follower.schedule_notice(),
                 () = shared.ending.cancelled() => return,
                 () = shared.keeper_wake.notified() => {}
                 () = shared.run_reported.notified() => {}
                 () = shared.configuration_wanted.notified() => {
-                    self.configurations.ask(&self.shared, &self.peers, self.address);
+                    self.configurations.request_newer(&self.shared, &self.peers, self.address);
                 }
                 () = sleep_until(wake_at) => {}
             }
@@ -166,10 +167,10 @@
     }
 
     fn next_wake(&self, now: Timestamp) -> Timestamp {
-        let next_message = self.following.next_message(&self.shared);
+        let next_message = self.follower.next_message(&self.shared);
         let mut wake_at = self.lease.next_poll(now).min(next_message);
-        if let Some(leading) = &self.leading {
-            wake_at = wake_at.min(leading.plan_due());
+        if let Some(leader) = &self.leader {
+            wake_at = wake_at.min(leader.plan_due());
         }
         if let Some(quotas) = self.quotas.next_wake(&self.shared) {
             wake_at = wake_at.min(quotas);
@@ -180,12 +181,12 @@
         wake_at.min(now + IDLE_INTERVAL)
     }
 
-    /// Notices that the machine was suspended. What is believed ages by itself, since the clock counts that time; watches
-    /// of the store may have lost their other end meanwhile.
+    /// Detects that the machine was suspended. Cached state ages by itself, since the clock counts that time; watches of the
+    /// store are restarted, since their connections may have been lost meanwhile.
     fn notice_suspension(&mut self, now: Timestamp) {
         let suspended = self.shared.clock.suspended();
         let since = suspended.saturating_sub(self.suspended);
-        if since < LEAST_SUSPENSION {
+        if since < MIN_SUSPENSION {
             return;
         }
         self.suspended = suspended;
@@ -195,25 +196,25 @@
         self.shared.restart_watches();
     }
 
-    /// Does what is due.
+    /// Performs the work that is due.
     fn tick(&mut self) {
         let now = self.shared.now();
         self.notice_suspension(now);
-        let (store_era, known_until) = {
+        let (store_era, known_revision) = {
             let tables = self.shared.tables();
             (tables.store_era, tables.runners.revision())
         };
         if let Some(start) = store_era {
             self.lease.note_era(start.first.era, now);
             self.peers.hops().note_era(start);
-            // Before anything is sent: no member knows more than this from here.
-            self.peers.hops().note_known(known_until);
+            // Must precede all sends: no member may learn of a later revision from this daemon.
+            self.peers.hops().note_known(known_revision);
         }
-        let hears = self.lease.hears_holder(now);
+        let hears_holder = self.lease.hears_holder(now);
         self.shared
             .hears_coordinator
-            .store(hears, Ordering::Relaxed);
-        self.tell_quarantine(now);
+            .store(hears_holder, Ordering::Relaxed);
+        self.announce_quarantine(now);
         let (call, change) = self.lease.poll(now);
         if let Some(change) = change {
             self.lease_changed(&change);
@@ -221,41 +222,41 @@
         if let Some(call) = call {
             self.caller.call_store(call);
         }
-        self.report_use(now);
-        self.inform(now);
+        self.report_usage(now);
+        self.announce_store(now);
         self.quotas.report(&self.shared, &self.peers, now);
         self.quotas.send_questions(&self.shared, &self.peers, now);
-        self.tell_notices(now);
+        self.send_notices(now);
         self.send_permit_questions(now);
         end_spells(&self.shared);
-        self.tell_limits(now);
-        if self.leading.as_ref().is_some_and(|it| now >= it.plan_due()) {
+        self.announce_limits(now);
+        if self.leader.as_ref().is_some_and(|it| now >= it.plan_due()) {
             self.plan();
         }
     }
 
-    /// Tells the coordinator what requests use and wait for, if that is due.
-    fn report_use(&mut self, now: Timestamp) {
-        let Some(message) = self.following.due_message(&self.shared, now) else {
+    /// Reports to the coordinator what requests use and wait for, if a report is due.
+    fn report_usage(&mut self, now: Timestamp) {
+        let Some(message) = self.follower.due_message(&self.shared, now) else {
             return;
         };
-        let summary = self.following.due_summary(&self.shared);
+        let summary = self.follower.due_summary(&self.shared);
         for message in summary.into_iter().chain([message]) {
-            if self.leading.is_some() {
-                self.heard_member(message);
-            } else if let Some(coordinator) = self.following.coordinator() {
-                self.seek_way(coordinator, now);
+            if self.leader.is_some() {
+                self.handle_member_message(message);
+            } else if let Some(coordinator) = self.follower.coordinator() {
+                self.try_relay(coordinator, now);
                 self.peers.send(coordinator, &message);
             }
         }
     }
 
-    /// Looks for a way to a coordinator that is silent through other daemons.
-    fn seek_way(&mut self, coordinator: SocketAddr, now: Timestamp) {
-        if now.since(self.coordinator_heard_at) < next_hop::COORDINATOR_SILENCE {
+    /// Tries to reach a silent coordinator through other daemons.
+    fn try_relay(&mut self, coordinator: SocketAddr, now: Timestamp) {
+        if now.since(self.coordinator_seen_at) < next_hop::COORDINATOR_SILENCE {
             return;
         }
-        let relays = self.following.relays();
+        let relays = self.follower.relays();
         let relays = if relays.is_empty() {
             self.lease.recorded_members()
         } else {
@@ -265,27 +266,32 @@
         self.peers.hops().try_relay(coordinator, now);
     }
 
-    /// Takes in a message for this daemon, or passes one on.
-    fn take_datagram(&mut self, received: Received) {
+    /// Handles a message for this daemon, or forwards one for another daemon.
+    fn handle_datagram(&mut self, received: Received) {
         let now = self.shared.now();
-        let came_after = self.arrivals.earliest_arrival();
+        let earliest_arrival = self.arrivals.earliest_arrival();
         match received {
-            Received::PassOn(forwarded) => self.peers.pass_on(forwarded, now.since(came_after)),
+            Received::PassOn(forwarded) => {
+                self.peers.pass_on(forwarded, now.since(earliest_arrival));
+            }
             Received::Arrival(arrival) => {
-                self.note_way(arrival.from, now);
-                self.received(arrival.message, came_after - arrival.held);
+                self.note_coordinator_route(arrival.from, now);
+                self.handle_message(arrival.message, earliest_arrival - arrival.held);
             }
         }
     }
 
-    /// Logs, once for each address and reason, that a daemon has sent what this build does not understand: it may run
-    /// another build, and to this one it is silent.
-    fn not_understood(&mut self, other: &NotUnderstood) {
+    /// Logs, once for each address and reason, that a daemon has sent a message that this build can't decode: it may run
+    /// another build, and counts as silent here.
+    fn log_not_understood(&mut self, other: &NotUnderstood) {
         let reason = other.error.to_string();
-        if self.not_understood.len() >= MAX_NOT_UNDERSTOOD {
-            self.not_understood.clear();
+        if self.logged_not_understood.len() >= MAX_NOT_UNDERSTOOD {
+            self.logged_not_understood.clear();
         }
-        if !self.not_understood.insert((other.source, reason.clone())) {
+        if !self
+            .logged_not_understood
+            .insert((other.source, reason.clone()))
+        {
             return;
         }
         let code = ResultCode::PeerNotUnderstood.number();
@@ -299,56 +305,58 @@
             .write(self.shared.now(), "peer-not-understood", fields);
     }
 
-    /// Notes that the coordinator is heard, and logs it if it is heard in another way than before.
-    fn note_way(&mut self, from: SocketAddr, now: Timestamp) {
-        if self.following.coordinator() != Some(from) {
+    /// Records that a message of the coordinator has arrived, and logs a change of the route that it took.
+    fn note_coordinator_route(&mut self, from: SocketAddr, now: Timestamp) {
+        if self.follower.coordinator() != Some(from) {
             return;
         }
-        self.coordinator_heard_at = now;
+        self.coordinator_seen_at = now;
         let through = self.peers.hops().confirmed_relay(from, now);
-        if through == self.coordinator_through {
+        if through == self.coordinator_relay {
             return;
         }
-        self.coordinator_through = through;
-        let way = through.map_or("directly".to_owned(), |through| through.to_string());
-        let fields: &[(&str, &dyn Display)] = &[("coordinator", &from), ("through", &way)];
+        self.coordinator_relay = through;
+        let route = through.map_or("directly".to_owned(), |through| through.to_string());
+        let fields: &[(&str, &dyn Display)] = &[("coordinator", &from), ("through", &route)];
         self.shared.log.write(now, "way-to-coordinator", fields);
     }
 
-    /// Tells all daemons which tenants are near their limit, if this daemon is to and it is due.
-    fn tell_limits(&mut self, now: Timestamp) {
-        if !self.quotas.are_kept() || now.since(self.limits_at) < LIMITS_INTERVAL {
+    /// Announces to all daemons which tenants are near their limit, if this daemon is the announcer and an announcement is
+    /// due.
+    fn announce_limits(&mut self, now: Timestamp) {
+        if !self.quotas.has_limits() || now.since(self.limits_checked_at) < LIMITS_INTERVAL {
             return;
         }
-        self.limits_at = now;
-        let daemons = self.daemons(now);
-        let (speaker, addresses, news) = if let Some(leading) = &self.leading {
-            let news = self
-                .quotas
-                .news(&leading.standby_addresses(now), daemons, now);
+        self.limits_checked_at = now;
+        let daemons = self.daemon_count(now);
+        let (role, addresses, announcement) = if let Some(leader) = &self.leader {
+            let announcement =
+                self.quotas
+                    .announcement(&leader.standby_addresses(now), daemons, now);
             (
                 AnnouncerRole::Coordinator,
-                leading.member_addresses(now),
-                news,
+                leader.member_addresses(now),
+                announcement,
             )
         } else {
-            let Some(news) = self.quotas.deputy_news(daemons, now) else {
+            let Some(announcement) = self.quotas.deputy_announcement(daemons, now) else {
                 return;
             };
             (
                 AnnouncerRole::Deputy,
-                self.following.members().to_vec(),
-                news,
+                self.follower.members().to_vec(),
+                announcement,
             )
         };
-        if !self.quotas.is_news_due(speaker, &news, now) {
+        if !self.quotas.is_announcement_due(role, &announcement, now) {
             return;
         }
-        self.quotas.note_told(&self.shared, &news, now);
-        self.send_to_others(&addresses, &Message::QuotaNews(news));
+        self.quotas
+            .record_announced(&self.shared, &announcement, now);
+        self.send_to_others(&addresses, &Message::QuotaNews(announcement));
     }
 
-    /// Sends a message to all of some daemons but this one.
+    /// Sends a message to the given daemons, except to this one.
     fn send_to_others(&self, addresses: &[SocketAddr], message: &Message) {
         let others = addresses.iter().filter(|&&address| address != self.address);
         for address in others {
@@ -356,75 +364,75 @@
         }
     }
 
-    /// How many daemons there are. A coordinator that has just begun has not heard of all.
-    fn daemons(&self, now: Timestamp) -> u32 {
+    /// Number of daemons. A coordinator that has just started has not received reports from all of them yet.
+    fn daemon_count(&self, now: Timestamp) -> u32 {
         let known = self.shared.daemons();
-        let Some(leading) = &self.leading else {
+        let Some(leader) = &self.leader else {
             return known;
         };
-        let heard = u32::try_from(leading.member_count(now).max(1)).unwrap_or(u32::MAX);
-        if leading.is_new(now) {
-            heard.max(known)
+        let reporting = u32::try_from(leader.member_count(now).max(1)).unwrap_or(u32::MAX);
+        if leader.is_starting(now) {
+            reporting.max(known)
         } else {
-            heard
+            reporting
         }
     }
 
-    /// Tells the members of the store, if this daemon stands by and the coordinator does not.
-    fn inform(&mut self, now: Timestamp) {
-        let news = self.informing.due(&self.shared, self.address, now);
-        for news in news {
-            let message = Message::StoreNews(news);
-            self.send_to_others(self.following.members(), &message);
+    /// Announces the state of the store to the members, if this daemon is a standby and the coordinator does not announce it.
+    fn announce_store(&mut self, now: Timestamp) {
+        let announcements = self.standby.due(&self.shared, self.address, now);
+        for announcement in announcements {
+            let message = Message::StoreNews(announcement);
+            self.send_to_others(self.follower.members(), &message);
         }
     }
 
-    /// Decides on orders and reports, carries the decisions out, and tells the members.
+    /// Plans orders and reports, executes the plan, and sends the members their directions.
     fn plan(&mut self) {
-        let begun = self.shared.now();
-        let term = self.lease.term(begun);
-        let daemons = self.daemons(begun);
-        let Some(leading) = self.leading.as_mut() else {
+        let started_at = self.shared.now();
+        let term = self.lease.term(started_at);
+        let daemons = self.daemon_count(started_at);
+        let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        self.lease.set_strongest(leading.strongest_member());
-        if Some(leading.term) != term {
-            leading.planned(begun, begun);
+        self.lease.set_strongest(leader.strongest_member());
+        if Some(leader.term) != term {
+            leader.finish_plan(started_at, started_at);
             return;
         }
-        for action in leading.plan(&self.shared, begun) {
-            self.caller.carry_out(action, leading.term);
+        for action in leader.plan(&self.shared, started_at) {
+            self.caller.execute(action, leader.term);
         }
-        if !leading.is_new(begun) {
-            self.lease.set_members(leading.member_addresses(begun));
+        if !leader.is_starting(started_at) {
+            self.lease.set_members(leader.member_addresses(started_at));
         }
-        let deputies = leading.standby_addresses(begun);
-        let quota = self.quotas.news(&deputies, daemons, begun);
-        self.quotas.heard_news(&self.shared, &quota);
-        let messages = match self.lease.heartbeat(begun) {
-            Some(pulse) => leading.messages(&self.shared, pulse, self.address, &quota),
+        let deputies = leader.standby_addresses(started_at);
+        let quota = self.quotas.announcement(&deputies, daemons, started_at);
+        self.quotas.apply_announcement(&self.shared, &quota);
+        let messages = match self.lease.heartbeat(started_at) {
+            Some(heartbeat) => leader.messages(&self.shared, heartbeat, self.address, &quota),
             None => Vec::new(),
         };
         for outgoing in messages {
             if outgoing.member == self.shared.settings.name {
-                self.following
-                    .take_direction(&self.shared, outgoing.direction, true, begun);
+                self.follower
+                    .apply_direction(&self.shared, outgoing.direction, true, started_at);
             } else {
                 let message = Message::Direction(Box::new(outgoing.direction));
                 self.peers.send(outgoing.address, &message);
             }
         }
-        let ended = self.shared.now();
-        leading.planned(begun, ended);
-        let is_announcement_due = leading.is_announcement_due(ended);
+        let finished_at = self.shared.now();
+        leader.finish_plan(started_at, finished_at);
+        let is_announcement_due = leader.is_announcement_due(finished_at);
         if is_announcement_due {
-            self.announce();
+            self.announce_leadership();
         }
-        metrics::histogram!(PLAN_SECONDS.name).record(ended.since(begun).as_secs_f64());
+        metrics::histogram!(PLAN_SECONDS.name).record(finished_at.since(started_at).as_secs_f64());
     }
 
-    /// Takes in a message that was sent no earlier than at a time.
-    fn received(&mut self, message: Message, came_after: Timestamp) {
+    /// Handles a message that was sent no earlier than `earliest_arrival`.
+    fn handle_message(&mut self, message: Message, earliest_arrival: Timestamp) {
         match message {
             Message::Direction(direction) => {
                 let direction = *direction;
@@ -435,89 +443,98 @@
                 if let Some(stands_by) = direction.standby.stands_by() {
                     self.lease.set_stands_by(stands_by);
                 }
-                let leads = self.leading.is_some();
+                let leads = self.leader.is_some();
                 take_evacuations(&self.shared, direction.evacuations.clone(), "coordinator");
                 self.compare_quarantine(direction.address, direction.quarantine_digest);
-                self.quotas.heard_news(&self.shared, &direction.quota);
+                self.quotas
+                    .apply_announcement(&self.shared, &direction.quota);
                 let version = direction.store.configuration_version;
                 self.configurations
-                    .told(&self.shared, direction.address, version);
-                self.following
-                    .take_direction(&self.shared, direction, leads, came_after);
+                    .record_announcement(&self.shared, direction.address, version);
+                self.follower
+                    .apply_direction(&self.shared, direction, leads, earliest_arrival);
             }
             Message::Usage(_) | Message::Waiting(_) | Message::HoldingsSummary(_) => {
-                self.heard_member(message);
+                self.handle_member_message(message);
             }
             Message::LeaseEnded { term } => {
                 self.log_lease("lease-end-heard", term);
                 self.lease.handle_term_ended(term, self.shared.now());
             }
-            Message::StoreNews(news) => self.heard_store_news(news, came_after),
-            Message::UseReport(report) => self.quotas.heard_use(report, self.shared.now()),
+            Message::StoreNews(announcement) => {
+                self.apply_store_announcement(announcement, earliest_arrival);
+            }
+            Message::UseReport(report) => self.quotas.record_use_report(report, self.shared.now()),
             Message::QuotaQuestions(questions) => {
                 let now = self.shared.now();
                 self.quotas.answer(&self.peers, &questions, now);
             }
-            Message::QuotaAnswers(answers) => Quotas::heard_answers(&self.shared, &answers),
-            Message::QuotaNews(news) => self.quotas.heard_news(&self.shared, &news),
+            Message::QuotaAnswers(answers) => Quotas::apply_answers(&self.shared, &answers),
+            Message::QuotaNews(announcement) => {
+                self.quotas.apply_announcement(&self.shared, &announcement);
+            }
             Message::PermitQuestions(questions) => {
                 let now = self.shared.now();
                 self.answer_permit_questions(&questions, now);
             }
-            Message::PermitAnswers(answers) => heard_permit_answers(&self.shared, &answers),
-            Message::RunnerNotices(notices) => self.heard_notices(&notices, came_after),
+            Message::PermitAnswers(answers) => apply_permit_answers(&self.shared, &answers),
+            Message::RunnerNotices(notices) => self.merge_notices(&notices, earliest_arrival),
             Message::ConfigurationWanted(wanted) => {
                 self.configurations
                     .answer(&self.shared, &self.peers, &wanted);
             }
-            Message::ConfigurationChunk(chunk) => self.configurations.take(&self.shared, &chunk),
+            Message::ConfigurationChunk(chunk) => {
+                self.configurations.apply_chunk(&self.shared, &chunk);
+            }
             Message::RunReports(reports) => {
                 for report in &reports {
                     self.shared.record_run(report);
                 }
             }
-            Message::QuarantineNews(news) => self.heard_quarantine(&news),
-            // One for this daemon was unpacked, and nobody passes one on twice.
+            Message::QuarantineNews(announcement) => self.merge_quarantine(&announcement),
+            // One for this daemon has been unpacked before, and none is forwarded twice.
             Message::Forwarded(_) => {}
         }
     }
 
-    /// Takes in what a standby tells of the store.
-    fn heard_store_news(&mut self, news: StoreNews, came_after: Timestamp) {
-        if self.leading.is_some() {
+    /// Applies the state of the store that a standby has announced.
+    fn apply_store_announcement(&mut self, announcement: StoreNews, earliest_arrival: Timestamp) {
+        if self.leader.is_some() {
             return;
         }
-        if let Some(update) = news.membership
-            && !take_membership(&self.shared, update, news.state.membership_revision)
+        if let Some(update) = announcement.membership
+            && !take_membership(&self.shared, update, announcement.state.membership_revision)
         {
             metrics::counter!(NEWS_WITH_GAPS.name).increment(1);
         }
-        take_evacuations(&self.shared, news.evacuations, "standby");
-        self.compare_quarantine(news.from, news.quarantine_digest);
-        let version = news.state.configuration_version;
-        self.configurations.told(&self.shared, news.from, version);
-        self.shared.hear_store(news.from, &news.state, came_after);
+        take_evacuations(&self.shared, announcement.evacuations, "standby");
+        self.compare_quarantine(announcement.from, announcement.quarantine_digest);
+        let version = announcement.state.configuration_version;
+        self.configurations
+            .record_announcement(&self.shared, announcement.from, version);
+        self.shared
+            .hear_store(announcement.from, &announcement.state, earliest_arrival);
     }
 
-    /// Takes in a message of a member, if this daemon coordinates.
-    fn heard_member(&mut self, message: Message) {
+    /// Handles a message of a member, if this daemon coordinates.
+    fn handle_member_message(&mut self, message: Message) {
         let now = self.shared.now();
-        let Some(leading) = &mut self.leading else {
+        let Some(leader) = &mut self.leader else {
             return;
         };
         match message {
-            Message::Usage(usage) => leading.heard_usage(usage, now),
-            Message::Waiting(notice) => leading.heard_waiting(notice, now),
-            Message::HoldingsSummary(summary) => leading.heard_summary(summary, now),
+            Message::Usage(usage) => leader.record_usage(usage, now),
+            Message::Waiting(notice) => leader.record_waiting(notice, now),
+            Message::HoldingsSummary(summary) => leader.record_summary(summary, now),
             _ => {}
         }
     }
 
-    fn happened(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let now = self.shared.now();
         match event {
             Event::Lease(answer) => {
-                self.note_store(&answer);
+                self.note_store_answer(&answer);
                 if let LeaseAnswer::Found(lease) = &answer {
                     let quarantine = &lease.record.quarantine;
                     self.shared.take_quarantine(quarantine, "lease");
@@ -537,16 +554,16 @@
                 asked_at,
                 term,
             } => {
-                let Some(leading) = self.leading.as_mut().filter(|it| it.term == term) else {
+                let Some(leader) = self.leader.as_mut().filter(|it| it.term == term) else {
                     return;
                 };
                 if let Some(report) = report.as_ref().filter(|it| !it.is_of(&runner)) {
                     log_foreign_report(&self.shared, &runner, report, term);
                 }
-                let settled = leading
+                let settled = leader
                     .placement
                     .apply_report(&runner, report, asked_at, now);
-                leading.plan_soon(now);
+                leader.schedule_plan(now);
                 if let Some(settled) = settled {
                     log_settled(&self.shared, &runner, &settled, term);
                 }
@@ -556,12 +573,13 @@
                 answer,
                 order,
                 term,
-            } => self.order_answered(&runner, answer, &order, term),
+            } => self.handle_order_answer(&runner, answer, &order, term),
         }
     }
 
-    /// Watches that were begun while the store did not answer may hang for good.
-    fn note_store(&mut self, answer: &LeaseAnswer) {
+    /// Records whether the store answers. When it answers again, all watches are restarted: those that were started while it
+    /// did not answer may hang forever.
+    fn note_store_answer(&mut self, answer: &LeaseAnswer) {
         let fails = *answer == LeaseAnswer::Unknown;
         if !fails {
             self.shared.note_store_seen();
@@ -569,13 +587,19 @@
         if let Some(revision) = answer.revision() {
             self.shared.note_store_era(revision);
         }
-        if self.store_fails && !fails {
+        if self.is_store_failing && !fails {
             self.shared.restart_watches();
         }
-        self.store_fails = fails;
+        self.is_store_failing = fails;
     }
 
-    fn order_answered(&mut self, runner: &RunnerId, answer: OrderAnswer, order: &Order, term: u64) {
+    fn handle_order_answer(
+        &mut self,
+        runner: &RunnerId,
+        answer: OrderAnswer,
+        order: &Order,
+        term: u64,
+    ) {
         let now = self.shared.now();
         let fields: &[(&str, &dyn Display)] = &[
             ("runner", runner),
@@ -591,9 +615,9 @@
             }
             return;
         }
-        if let Some(leading) = self.leading.as_mut().filter(|it| it.term == term) {
-            leading.placement.apply_answer(runner, answer, now);
-            leading.plan_soon(now);
+        if let Some(leader) = self.leader.as_mut().filter(|it| it.term == term) {
+            leader.placement.apply_answer(runner, answer, now);
+            leader.schedule_plan(now);
         }
     }
 }
--- a/crates/ingress/src/coordination/permits.rs
+++ b/crates/ingress/src/coordination/permits.rs
@@ -1,5 +1,5 @@
-//! Permits for requests to runners that are cold or name a rate: this daemon asks the keeper, and is the keeper while it
-//! coordinates.
+//! Permits for requests to runners that are cold or name a rate limit: this daemon asks the keeper, and is the keeper
+//! while it coordinates.
 
 use std::net::SocketAddr;
 
@@ -14,7 +14,7 @@
 use crate::state::Shared;
 
 impl Coordination {
-    /// Sends the questions of this daemon's requests, or answers them if it is the keeper itself.
+    /// Sends this daemon's permit requests to the keeper, or answers them if this daemon is the keeper.
     pub(super) fn send_permit_questions(&mut self, now: Timestamp) {
         self.shared.tables().permit_keeper = self.permit_keeper();
         for (keeper, requests) in self.shared.permit_questions.take_unsent() {
@@ -24,45 +24,46 @@
             };
             if keeper == self.address {
                 let answers = self.permit_answers(&questions, now);
-                heard_permit_answers(&self.shared, &answers);
+                apply_permit_answers(&self.shared, &answers);
             } else {
-                self.tell_rates(keeper, &questions, now);
+                self.send_rate_limits(keeper, &questions, now);
                 self.peers
                     .send(keeper, &Message::PermitQuestions(questions));
             }
         }
     }
 
-    /// Tells a keeper, before it is asked for permits, which rates the runners name: it may be new, or have missed it.
-    fn tell_rates(&self, keeper: SocketAddr, questions: &PermitQuestions, now: Timestamp) {
+    /// Sends a keeper the rate limits that the runners name before it is asked for permits: a new keeper does not know
+    /// them, and an old one may have missed them.
+    fn send_rate_limits(&self, keeper: SocketAddr, questions: &PermitQuestions, now: Timestamp) {
         let runners = questions.requests.iter().map(|it| it.runner.clone());
-        self.tell_of(keeper, &runners.collect(), now);
+        self.send_notices_of(keeper, &runners.collect(), now);
     }
 
-    /// Answers the questions of another daemon.
+    /// Answers the permit requests of another daemon.
     pub(super) fn answer_permit_questions(&mut self, questions: &PermitQuestions, now: Timestamp) {
         let answers = self.permit_answers(questions, now);
         self.peers
             .send(questions.from, &Message::PermitAnswers(answers));
     }
 
-    /// Whom the requests of this daemon ask.
+    /// The keeper that this daemon's requests ask for permits.
     fn permit_keeper(&self) -> Option<SocketAddr> {
-        if self.leading.is_some() {
+        if self.leader.is_some() {
             Some(self.address)
         } else {
-            self.following.coordinator()
+            self.follower.coordinator()
         }
     }
 
-    /// Only a coordinator whose lease holds gives permits: so there is one keeper at any time.
+    /// Grants permits only while this daemon coordinates under a valid lease, so that there is at most one keeper at a time.
     fn permit_answers(&mut self, questions: &PermitQuestions, now: Timestamp) -> PermitAnswers {
         let term = self.lease.term(now);
         let shared = &self.shared;
-        let leading = self.leading.as_mut();
-        let mut keeper = leading
-            .filter(|leading| Some(leading.term) == term)
-            .map(|leading| &mut leading.permits);
+        let leader = self.leader.as_mut();
+        let mut keeper = leader
+            .filter(|leader| Some(leader.term) == term)
+            .map(|leader| &mut leader.permits);
         let answer = |question: &PermitQuestion| PermitAnswer {
             number: question.number,
             decision: match &mut keeper {
@@ -87,7 +88,7 @@
         .runners
         .get(&question.runner)
         .map(|runner| runner.service.clone());
-    let begun_at = tables.spells.started_at(&question.runner, now);
+    let started_at = tables.spells.started_at(&question.runner, now);
     let rate_limit = tables.notices.rate_limit(&question.runner);
     let has_named_rate = tables.notices.has_reported_rate(&question.runner);
     drop(tables);
@@ -95,20 +96,17 @@
     if bound.is_none() && !has_named_rate {
         return PermitKeeper::unknown_runner();
     }
-    let asked = PermitRequest {
+    let request = PermitRequest {
         runner: &question.runner,
         rank: question.rank,
-        cold: bound.map(|bound| ColdPeriod {
-            bound,
-            started_at: begun_at,
-        }),
+        cold: bound.map(|bound| ColdPeriod { bound, started_at }),
         rate_limit,
     };
-    keeper.ask(&asked, now)
+    keeper.ask(&request, now)
 }
 
-/// Takes in answers of the keeper. One that comes too late changes nothing: its permit has ended, or will unused.
-pub(super) fn heard_permit_answers(shared: &Shared, answers: &PermitAnswers) {
+/// Applies the keeper's answers. One that arrives too late has no effect: its permit has expired, or expires unused.
+pub(super) fn apply_permit_answers(shared: &Shared, answers: &PermitAnswers) {
     for answer in &answers.answers {
         shared
             .permit_questions
--- a/crates/ingress/src/coordination/quotas.rs
+++ b/crates/ingress/src/coordination/quotas.rs
@@ -1,5 +1,5 @@
-//! How quotas are kept over all daemons: what this daemon tells and asks the keepers, and what it tells all others if
-//! it is one.
+//! Enforcement of quotas across all daemons: what this daemon reports to and asks of the keepers, and what it announces
+//! to all others if it is a keeper.
 
 use std::fmt::Display;
 use std::net::SocketAddr;
@@ -15,62 +15,62 @@
 use crate::peer::PeerSocket;
 use crate::state::Shared;
 
-/// What this daemon does for quotas.
+/// This daemon's part in enforcing quotas.
 #[derive(Debug)]
 pub(super) struct Quotas {
     own: SocketAddr,
     keeper: QuotaKeeper,
     announcer: Announcer,
-    /// The configuration bounds some tenant; else nobody is told anything.
-    tells_keepers: bool,
+    /// Whether the configuration limits any tenant; if not, nothing is reported or announced.
+    has_limits: bool,
 }
 
 impl Quotas {
-    /// A daemon that listens at an address and knows of no keeper.
+    /// Quotas of a daemon that listens at `own` and does not know a keeper yet.
     pub fn new(own: SocketAddr, now: Timestamp) -> Self {
         Self {
             own,
             keeper: QuotaKeeper::new(now),
             announcer: Announcer::new(own, now),
-            tells_keepers: false,
+            has_limits: false,
         }
     }
 
-    /// Takes in what a keeper tells.
-    pub fn heard_news(&mut self, shared: &Shared, news: &QuotaNews) {
+    /// Applies the announcement of a keeper.
+    pub fn apply_announcement(&mut self, shared: &Shared, announcement: &QuotaNews) {
         let now = shared.now();
-        self.announcer.observe(news, now);
-        shared.tables().quota.apply_announcement(news, now);
+        self.announcer.observe(announcement, now);
+        shared.tables().quota.apply_announcement(announcement, now);
     }
 
-    /// Takes in what a daemon has admitted.
-    pub fn heard_use(&mut self, report: UseReport, now: Timestamp) {
+    /// Records what a daemon has admitted.
+    pub fn record_use_report(&mut self, report: UseReport, now: Timestamp) {
         self.keeper.record_report(report, now);
     }
 
-    /// The daemons that keep for all what must survive the coordinator: itself first, then its deputies.
+    /// The daemons that keep the state which must survive the coordinator: the coordinator first, then its deputies.
     pub fn keepers(&self) -> &[SocketAddr] {
         self.announcer.keepers()
     }
 
-    /// Whether the configuration bounds some tenant; else there is nothing to be told.
-    pub fn are_kept(&self) -> bool {
-        self.tells_keepers
+    /// Whether the configuration limits any tenant; if not, there is nothing to report or announce.
+    pub fn has_limits(&self) -> bool {
+        self.has_limits
     }
 
-    /// When something is due at the latest, if anything will be.
+    /// Latest time at which the next report is due, if any will be.
     pub fn next_wake(&self, shared: &Shared) -> Option<Timestamp> {
-        self.tells_keepers
+        self.has_limits
             .then(|| shared.tables().quota.report_due_at())
     }
 
-    /// Tells the keepers what this daemon has admitted, if that is due.
+    /// Reports to the keepers what this daemon has admitted, if a report is due.
     pub fn report(&mut self, shared: &Shared, peers: &PeerSocket, now: Timestamp) {
         if let Some(configuration) = shared.configuration() {
             self.keeper.configure(&configuration, now);
         }
-        self.tells_keepers = self.keeper.has_buckets();
-        if !self.tells_keepers {
+        self.has_limits = self.keeper.has_buckets();
+        if !self.has_limits {
             return;
         }
         let Some(report) = shared.tables().quota.due_report(self.own, now) else {
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Sends the questions of this daemon's requests, or answers them if it is the keeper itself.
+    /// Sends this daemon's quota requests to the keepers, or answers them if this daemon is the keeper.
     pub fn send_questions(&mut self, shared: &Shared, peers: &PeerSocket, now: Timestamp) {
         for (keeper, requests) in shared.quota_questions.take_unsent() {
             let questions = QuotaQuestions {
@@ -94,14 +94,14 @@
             };
             if keeper == self.own {
                 let answers = self.answers(&questions, now);
-                Self::heard_answers(shared, &answers);
+                Self::apply_answers(shared, &answers);
             } else {
                 peers.send(keeper, &Message::QuotaQuestions(questions));
             }
         }
     }
 
-    /// Answers the questions of another daemon.
+    /// Answers the quota requests of another daemon.
     pub fn answer(&mut self, peers: &PeerSocket, questions: &QuotaQuestions, now: Timestamp) {
         let answers = self.answers(questions, now);
         peers.send(questions.from, &Message::QuotaAnswers(answers));
@@ -119,16 +119,21 @@
         }
     }
 
-    /// Takes in answers of the keeper. One that comes too late changes nothing: what the daemon reports to have
-    /// admitted does not hold it.
-    pub fn heard_answers(shared: &Shared, answers: &QuotaAnswers) {
+    /// Applies the keeper's answers. One that arrives too late has no effect: what the daemon reports as admitted does not
+    /// include it.
+    pub fn apply_answers(shared: &Shared, answers: &QuotaAnswers) {
         for answer in &answers.answers {
             shared.quota_questions.answer(answer.number, answer.grant);
         }
     }
 
-    /// What the coordinator tells with each of its messages.
-    pub fn news(&mut self, deputies: &[SocketAddr], daemons: u32, now: Timestamp) -> QuotaNews {
+    /// What the coordinator announces with each of its messages.
+    pub fn announcement(
+        &mut self,
+        deputies: &[SocketAddr],
+        daemons: u32,
+        now: Timestamp,
+    ) -> QuotaNews {
         let deputies = deputies.iter().take(DEPUTIES).copied();
         QuotaNews {
             from: self.own,
@@ -138,9 +143,9 @@
         }
     }
 
-    /// What a deputy tells, if it speaks for a coordinator that is silent.
-    pub fn deputy_news(&mut self, daemons: u32, now: Timestamp) -> Option<QuotaNews> {
-        if !self.tells_keepers || !self.announcer.acts_as_deputy(now) {
+    /// What this daemon announces if it is a deputy and the coordinator is silent.
+    pub fn deputy_announcement(&mut self, daemons: u32, now: Timestamp) -> Option<QuotaNews> {
+        if !self.has_limits || !self.announcer.acts_as_deputy(now) {
             self.announcer.stop();
             return None;
         }
@@ -152,24 +157,31 @@
         })
     }
 
-    /// Whether all daemons are to be told apart from the coordinator's heartbeats.
-    pub fn is_news_due(&self, speaker: AnnouncerRole, news: &QuotaNews, now: Timestamp) -> bool {
-        self.announcer.is_due(speaker, &news.limits, now)
+    /// Whether an announcement to all daemons is due apart from the coordinator's heartbeats.
+    pub fn is_announcement_due(
+        &self,
+        role: AnnouncerRole,
+        announcement: &QuotaNews,
+        now: Timestamp,
+    ) -> bool {
+        self.announcer.is_due(role, &announcement.limits, now)
     }
 
-    /// Notes that all daemons are told.
-    pub fn note_told(&mut self, shared: &Shared, news: &QuotaNews, now: Timestamp) {
-        shared.tables().quota.apply_announcement(news, now);
-        if self.announcer.record_announced(&news.limits, now) {
-            let fields: &[(&str, &dyn Display)] =
-                &[("daemons", &news.daemons), ("limits", &text(&news.limits))];
+    /// Records that an announcement was sent to all daemons.
+    pub fn record_announced(&mut self, shared: &Shared, announcement: &QuotaNews, now: Timestamp) {
+        shared.tables().quota.apply_announcement(announcement, now);
+        if self.announcer.record_announced(&announcement.limits, now) {
+            let fields: &[(&str, &dyn Display)] = &[
+                ("daemons", &announcement.daemons),
+                ("limits", &format_limits(&announcement.limits)),
+            ];
             shared.log.write(now, "quota-limits", fields);
         }
     }
 }
 
-/// The tenants near their limit, with the thousandths to admit without an answer.
-fn text(limits: &[TenantLimit]) -> String {
+/// The tenants near their limit, each with the share in thousandths to admit without an answer.
+fn format_limits(limits: &[TenantLimit]) -> String {
     let one = |limit: &TenantLimit| format!("{}:{}", limit.tenant, limit.admit);
     let all: Vec<String> = limits.iter().map(one).collect();
     all.join(",")
--- a/crates/ingress/tests/ingress/cold_runners.rs
+++ b/crates/ingress/tests/ingress/cold_runners.rs
@@ -11,7 +11,7 @@
 use tokio::time::sleep;
 
 use crate::runner::ScriptedRunner;
-use crate::standstill::Standstill;
+use crate::stall::StallMonitor;
 use crate::store::MemoryStore;
 use crate::support::{ObedientControl, TestIngress, route, runner, service, settings};
 
@@ -131,9 +131,9 @@
     for _ in 0..TRIES {
         let server = ScriptedRunner::start(Vec::new()).await;
         let daemons = daemons(&server).await;
-        let standstill = Standstill::watch();
+        let stall_monitor = StallMonitor::start();
         let answers = burst(&daemons).await;
-        if standstill.longest() < PERMIT_LIFE / 2 {
+        if stall_monitor.max_stall() < PERMIT_LIFE / 2 {
             return answers;
         }
     }
@@ -163,9 +163,9 @@
 async fn a_zone_that_comes_back_counts_as_cold_for_a_spell() {
     let server = ScriptedRunner::start(Vec::new()).await;
     let (daemons, store) = warm_daemons(&server).await;
-    store.set_evacuated(&["z0"]);
+    store.set_evacuated_zones(&["z0"]);
     sleep(EVACUATION_BOUND).await;
-    store.set_evacuated(&[]);
+    store.set_evacuated_zones(&[]);
     sleep(EVACUATION_BOUND).await;
     let answers = burst(&daemons).await;
     assert!(answers.iter().any(|it| it.status == 200));
--- a/crates/ingress/tests/ingress/coordination.rs
+++ b/crates/ingress/tests/ingress/coordination.rs
@@ -1,4 +1,4 @@
-//! Several daemons and their coordinator.
+//! Several daemons with a coordinator.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -15,7 +15,7 @@
     settings,
 };
 
-/// Time within which an evacuation must be followed.
+/// Time within which daemons must apply an evacuation.
 const EVACUATION_BOUND: Duration = Duration::from_secs(2);
 
 async fn status(test: &TestIngress, id: &str) -> u16 {
@@ -28,7 +28,7 @@
 }
 
 #[tokio::test]
-async fn a_model_that_is_asked_for_is_loaded_and_the_request_waits() {
+async fn a_requested_model_is_loaded_while_the_request_waits() {
     let server = ScriptedRunner::start(vec![Behaviour::Events(1, 2)]).await;
     let store = MemoryStore::default();
     store.set_runners(vec![runner(0, server.address)]);
@@ -40,10 +40,10 @@
     assert_eq!(status(&test, "id-1").await, 200);
 }
 
-/// Seen in an incident: a daemon that was cut off from the store did not learn of the next coordinator,
-/// and refused what that one had loaded.
+/// Guards against a daemon, cut off from the store, that does not learn of the next coordinator and refuses requests for
+/// models which that coordinator has loaded. Seen in an incident.
 #[tokio::test]
-async fn a_daemon_cut_off_from_the_store_hears_of_the_next_coordinator() {
+async fn a_daemon_cut_off_from_the_store_learns_of_the_next_coordinator() {
     let server = ScriptedRunner::start(vec![Behaviour::Events(1, 2)]).await;
     let store = MemoryStore::default();
     store.set_runners(vec![runner(0, server.address)]);
@@ -60,37 +60,37 @@
 
     third.store.is_silent.store(true, Ordering::Relaxed);
     first.ingress.take().unwrap().stop().await;
-    // The successor waits a lease before its first order.
+    // The successor waits for one lease duration before its first order.
     sleep(Duration::from_millis(4_000)).await;
     assert_eq!(status(&third, "id-1").await, 200);
 }
 
-/// Seen on played days: before the first configuration, a daemon that heard a coordinator went round and
-/// round between its watch and the coordinator's word, and had no time for anything else.
+/// Guards against a busy loop: before the first configuration existed, a daemon with a coordinator switched endlessly
+/// between its own watch and the coordinator's announcements, and did nothing else. Seen in simulation.
 #[tokio::test]
-async fn a_daemon_without_a_configuration_does_not_spin() {
+async fn a_daemon_without_a_configuration_does_not_busy_loop() {
     let store = MemoryStore::default();
     let control = Arc::new(ObedientControl::default());
     let first = TestIngress::start_before("a", store.share(), control.clone()).await;
     sleep(Duration::from_millis(1_000)).await;
     let second = TestIngress::start_before("b", store.share(), control).await;
     sleep(Duration::from_millis(1_000)).await;
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let reads = second.store.reads.load(Ordering::Relaxed);
     sleep(Duration::from_millis(500)).await;
     assert!(
-        begun.elapsed() < Duration::from_millis(700),
-        "the task was held up"
+        started_at.elapsed() < Duration::from_millis(700),
+        "the runtime was blocked"
     );
     let more = second.store.reads.load(Ordering::Relaxed) - reads;
     assert!(more < 10, "{more} reads in half a second");
     assert_eq!(first.ready_status().await, 503);
 }
 
-/// Seen on a hunted day: a daemon that had once watched the store by itself kept a watch open that was never
-/// answered, though the coordinator told of a new configuration.
+/// Guards against a daemon that, after watching the store itself, keeps waiting on a watch which is never answered
+/// although the coordinator announces a new configuration. Seen in a search of random simulation scenarios.
 #[tokio::test]
-async fn a_daemon_turns_back_from_its_own_watch_to_the_coordinator() {
+async fn a_daemon_returns_from_its_own_watch_to_the_coordinator() {
     let server = ScriptedRunner::start(Vec::new()).await;
     let store = MemoryStore::default();
     store.set_runners(vec![runner(0, server.address)]);
@@ -103,7 +103,7 @@
     second.until_ready().await;
     sleep(Duration::from_millis(1_500)).await;
 
-    // The coordinator hears nothing of the store for a while, so that the other daemon watches it.
+    // The coordinator gets no answers from the store for a while, so that the other daemon watches it.
     first.store.is_silent.store(true, Ordering::Relaxed);
     sleep(Duration::from_millis(1_700)).await;
     second.store.is_silent.store(true, Ordering::Relaxed);
@@ -117,7 +117,7 @@
     assert_eq!(response.status(), 200);
 }
 
-/// Two daemons of which the first coordinates.
+/// Starts two daemons; the first one coordinates.
 pub async fn two_daemons(runners: Vec<Runner>) -> (MemoryStore, TestIngress, TestIngress) {
     let store = MemoryStore::default();
     store.set_runners(runners);
@@ -132,9 +132,9 @@
     (store, first, second)
 }
 
-/// Seen at 80 daemons: each change of a runner made every daemon read the whole list.
+/// Guards against every daemon reading the whole list from the store at each change of a runner. Seen with 80 daemons.
 #[tokio::test]
-async fn changes_of_runners_come_from_the_coordinator_and_not_from_the_store() {
+async fn members_receive_runner_changes_from_the_coordinator_and_not_from_the_store() {
     let leaving = ScriptedRunner::start(Vec::new()).await;
     let new = ScriptedRunner::start(Vec::new()).await;
     let (store, first, second) = two_daemons(vec![runner(0, leaving.address)]).await;
@@ -155,13 +155,17 @@
         let response = second.request("/unsafe/", id).send().await.unwrap();
         assert_eq!(response.status(), 200);
     }
-    assert_eq!(new.received().len(), 3, "work went to a runner that leaves");
+    assert_eq!(
+        new.received().len(),
+        3,
+        "requests were sent to a leaving runner"
+    );
     assert_eq!(second.store.reads.load(Ordering::Relaxed), reads);
     assert_eq!(first.ready_status().await, 200);
 }
 
 #[tokio::test]
-async fn an_old_answer_is_enough_if_it_holds_the_version_that_was_told() {
+async fn a_stale_read_suffices_if_it_contains_the_announced_version() {
     let server = ScriptedRunner::start(Vec::new()).await;
     let (store, first, second) = two_daemons(vec![runner(0, server.address)]).await;
     let latest = second.store.latest_reads.load(Ordering::Relaxed);
@@ -173,7 +177,7 @@
     assert_eq!(response.status(), 200);
     assert_eq!(second.store.latest_reads.load(Ordering::Relaxed), latest);
 
-    *second.store.old_configuration.lock().unwrap() = Some(configuration(2, Vec::new()));
+    *second.store.stale_configuration.lock().unwrap() = Some(configuration(2, Vec::new()));
     let newer = route("/newer/", RouteKind::Repeatable);
     store.set_configuration(configuration(3, vec![newer]));
     sleep(Duration::from_millis(1_000)).await;
@@ -182,15 +186,15 @@
     assert_eq!(first.ready_status().await, 200);
 }
 
-/// Seen on played days: the runner whose holdings had changed last was gone, so that members were told of a
-/// version which no message brought, and took nothing in any more.
+/// Guards against members that apply no more holdings: the runner whose holdings had changed last was removed, so that
+/// the coordinator announced a version which no message contained. Seen in simulation.
 #[tokio::test]
-async fn holdings_are_heard_of_after_a_runner_is_gone() {
+async fn holdings_are_propagated_after_a_runner_is_removed() {
     let stays = ScriptedRunner::start(vec![Behaviour::Events(1, 2); 8]).await;
-    let goes = ScriptedRunner::start(Vec::new()).await;
-    let both = vec![runner(0, stays.address), runner(1, goes.address)];
+    let removed = ScriptedRunner::start(Vec::new()).await;
+    let both = vec![runner(0, stays.address), runner(1, removed.address)];
     let (store, first, second) = two_daemons(both).await;
-    // The second runner has the youngest holdings, and is gone before the third daemon comes.
+    // The second runner has the latest change of holdings, and is removed before the third daemon starts.
     store.set_runners(vec![runner(0, stays.address)]);
     sleep(Duration::from_millis(1_200)).await;
     let control = Arc::new(ObedientControl::default());
@@ -202,17 +206,17 @@
     assert_eq!(status(&first, "id-3").await, 200);
 }
 
-/// Seen in a soak: a daemon never learnt what was loaded. How it came about: the coordinator's lease ran out while a renewal
-/// was under way; the renewal was answered late, so that the same term went on, but the coordinator numbered what it knows of
-/// the runners from the beginning, and the daemon knew higher numbers of that term. What proved it: `lease-acquired term=2`
-/// for the second time, and one daemon that sent requests to a runner which had dropped the model half a minute before.
+/// Guards against a daemon that never learns what is loaded. The coordinator's lease expired during a renewal; the answer to
+/// the renewal came late, so the same term continued, but the coordinator restarted its holdings versions while the daemon
+/// already knew higher versions of that term. Seen in a soak test: `lease-acquired term=2` was logged twice, and a daemon
+/// sent requests to a runner that had unloaded the model half a minute before.
 #[tokio::test]
-async fn members_learn_what_is_loaded_after_a_term_went_on_that_had_run_out() {
+async fn members_learn_holdings_after_an_expired_term_has_continued() {
     let server = ScriptedRunner::start(vec![Behaviour::Events(1, 2); 3]).await;
     let (_store, first, second) = two_daemons(vec![runner(0, server.address)]).await;
     assert_eq!(status(&second, "id-1").await, 200);
-    // The lease holds for 2.7 s and is renewed each 0.3 s: an answer that takes longer than the rest of it and shorter than
-    // the whole.
+    // The lease lasts 2.7 s and is renewed every 0.3 s: the answer takes longer than the remaining time, and less than a
+    // whole lease.
     first.store.lease_delay_ms.store(2_550, Ordering::Relaxed);
     sleep(Duration::from_millis(2_000)).await;
     first.store.lease_delay_ms.store(0, Ordering::Relaxed);
@@ -222,9 +226,10 @@
     assert_eq!(status_of(&second, OTHER_RARE_MODEL, "id-3").await, 200);
 }
 
-/// Seen on a day with an evacuation: nothing read them, and 626 requests reached the zone too late.
+/// Guards against evacuations that no daemon reads: in a simulated day with an evacuation, 626 requests reached the zone
+/// too late.
 #[tokio::test]
-async fn an_evacuated_zone_gets_nothing_until_that_is_taken_back() {
+async fn an_evacuated_zone_receives_no_requests_until_the_evacuation_is_revoked() {
     let near = ScriptedRunner::start(Vec::new()).await;
     let far = ScriptedRunner::start(Vec::new()).await;
     let store = MemoryStore::default();
@@ -242,27 +247,28 @@
     }
     let mut number = 0;
     let mut served_by_near = async || {
-        let before = near.received().len();
+        let previous = near.received().len();
         for daemon in &daemons {
             number += 1;
             let response = daemon.request("/safe/x", &format!("id-{number}"));
             assert_eq!(response.send().await.unwrap().status(), 200);
         }
-        near.received().len() - before
+        near.received().len() - previous
     };
     assert_eq!(served_by_near().await, 2);
-    store.set_evacuated(&["z0"]);
+    store.set_evacuated_zones(&["z0"]);
     sleep(EVACUATION_BOUND).await;
     assert_eq!(served_by_near().await, 0);
-    store.set_evacuated(&[]);
+    store.set_evacuated_zones(&[]);
     sleep(EVACUATION_BOUND).await;
     assert_eq!(served_by_near().await, 2);
 }
 
-/// Guards against a runner that gets work for longer than it may after it has said that it leaves: a daemon that begins to watch
-/// the store for others took in the list only after a watch of what came before it had ended, and that was not answered.
+/// Guards against requests to a runner for longer than allowed after it has announced that it is leaving. A daemon that began
+/// to watch the store for others applied the list only after a watch from an earlier revision had ended, and that watch was
+/// never answered.
 #[tokio::test]
-async fn a_list_counts_though_a_watch_of_what_came_before_it_is_not_answered() {
+async fn a_list_is_applied_although_a_watch_from_an_earlier_revision_is_not_answered() {
     let leaving = ScriptedRunner::start(Vec::new()).await;
     let staying = ScriptedRunner::start(Vec::new()).await;
     let both = vec![runner(0, leaving.address), runner(1, staying.address)];
--- a/crates/ingress/tests/ingress/earlier_coordinator.rs
+++ b/crates/ingress/tests/ingress/legacy_coordinator.rs
@@ -1,5 +1,5 @@
-//! A daemon that starts under a coordinator of the first builds, which knows of no eras and does not notice that a member's
-//! process has started anew.
+//! A daemon that starts under a coordinator of a legacy build, which does not know eras and does not detect that a member's
+//! process has restarted.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,30 +24,30 @@
 use crate::support::{MODEL, RARE_MODEL, SilentControl, TestIngress, configuration, runner};
 
 const TERM: u64 = 3;
-/// Version of the holdings that the process before has been told.
+/// Version of the holdings that the member's previous process has received.
 const HOLDINGS_VERSION: u64 = 5;
 /// The store's revision up to which the coordinator knows all changes of runners.
 const RUNNERS_REVISION: u64 = 2;
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
-/// Time within which a daemon that has just started must know what runners hold.
-const TOLD_WITHIN: Duration = Duration::from_secs(2);
+/// Time within which a daemon that has just started must know the holdings of the runners.
+const HOLDINGS_BOUND: Duration = Duration::from_secs(2);
 
-/// How far the coordinator has told the member.
+/// What the coordinator has sent to the member.
 struct Progress {
     holdings_version: u64,
-    /// The member has said before that it knows what the runner holds.
+    /// The member has reported before that it knows the holdings of the runner.
     knows_holdings: bool,
 }
 
-struct EarlierCoordinator {
+struct LegacyCoordinator {
     socket: UdpSocket,
     address: SocketAddr,
     runner: Runner,
     progress: Progress,
 }
 
-impl EarlierCoordinator {
-    /// One that has told everything to a process of the member that is gone.
+impl LegacyCoordinator {
+    /// A coordinator that has sent everything to a previous process of the member.
     async fn start(runner: Runner) -> Self {
         let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
         Self {
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Sends heartbeats, and counts the digests that come in some time.
+    /// Sends heartbeats for some time, and counts the digests that arrive.
     async fn count_summaries(mut self, member: SocketAddr, time: Duration) -> usize {
         let mut bytes = vec![0; 64 * 1024];
         let mut summaries = 0;
@@ -96,26 +96,26 @@
                     Message::Waiting(notice) => notice.known,
                     _ => continue,
                 };
-                self.heard(known);
+                self.record_known_state(known);
                 let answer = self.direction(Some(known));
                 self.send(answer, member).await;
             }
         }
     }
 
-    /// Takes a member back to what it says that it knows, and begins anew only with one that says another term.
-    fn heard(&mut self, known: KnownState) {
+    /// Resets the member's progress to the state that it reports, and starts over only if it reports another term.
+    fn record_known_state(&mut self, known: KnownState) {
         if known.term != TERM {
             self.progress = Progress {
                 holdings_version: 0,
                 knows_holdings: false,
             };
         }
-        let told = self.progress.holdings_version;
-        self.progress.holdings_version = told.min(known.holdings_version);
+        let sent = self.progress.holdings_version;
+        self.progress.holdings_version = sent.min(known.holdings_version);
     }
 
-    /// What the member is told: a heartbeat, or what it lacks of what it says that it knows.
+    /// The direction for the member: a heartbeat or, if its state is known, what that state lacks.
     fn direction(&mut self, known: Option<KnownState>) -> Direction {
         let lease = LeaseHeartbeat {
             term: TERM,
@@ -179,7 +179,7 @@
         }
     }
 
-    /// Sends a message as builds do that know of no parts behind it.
+    /// Sends a message in the format of builds that do not know extensions after it.
     async fn send(&self, direction: Direction, to: SocketAddr) {
         let message = Message::Direction(Box::new(direction));
         let mut bytes = Encoding::default().encode(&message);
@@ -188,40 +188,41 @@
     }
 }
 
-/// Guards against a daemon that is never told what runners hold: seen in a soak of builds in turns, where a daemon that started
-/// while the store was away served no model that was loaded before, for as long as its process ran. It hears its coordinator
-/// before it has a list of runners, so it can't say what it knows, and the coordinator leaves out what the process before knew.
+/// Guards against a daemon that never receives the holdings. In a soak test that alternated builds, a daemon that started
+/// while the store was unavailable served no model loaded before then, for as long as its process ran. It receives messages
+/// of its coordinator before it has a list of runners, so it can't report its state, and the coordinator omits what the
+/// previous process knew.
 #[tokio::test]
-async fn a_daemon_that_starts_without_the_store_is_told_what_runners_hold() {
+async fn a_daemon_that_starts_without_the_store_receives_the_holdings() {
     let server = ScriptedRunner::start(vec![Behaviour::Events(1, 2)]).await;
     let runner = runner(0, server.address);
     let store = MemoryStore::default();
     store.set_runners(vec![runner.clone()]);
     store.set_configuration(configuration(1, Vec::new()));
-    store.lacks_lists.store(true, Ordering::Relaxed);
-    let coordinator = EarlierCoordinator::start(runner).await;
+    store.withholds_lists.store(true, Ordering::Relaxed);
+    let coordinator = LegacyCoordinator::start(runner).await;
     let daemon = TestIngress::start_before("d", store, Arc::new(SilentControl)).await;
     let member = daemon.ingress.as_ref().unwrap().peer_address;
-    let leading = tokio::spawn(coordinator.lead(member));
+    let coordinator_task = tokio::spawn(coordinator.lead(member));
     daemon.until_ready().await;
-    sleep(TOLD_WITHIN).await;
+    sleep(HOLDINGS_BOUND).await;
     let request = daemon.request("/stream/", "id-1");
     let response = request.header("x-model", RARE_MODEL).send().await.unwrap();
-    leading.abort();
+    coordinator_task.abort();
     assert_eq!(response.status(), 200);
 }
 
-/// Guards against a coordinator that tells a member everything once more because the first part of what differs was lost: by then
-/// it has used the digests that the member sent.
+/// Guards against a coordinator that sends a member all holdings again because the first part of the differences was lost: by
+/// then it has consumed the digests that the member sent.
 #[tokio::test]
-async fn a_daemon_sends_digests_until_it_is_told_holdings_from_the_beginning() {
+async fn a_daemon_sends_digests_until_it_receives_holdings_from_the_beginning() {
     let server = ScriptedRunner::start(Vec::new()).await;
     let runner = runner(0, server.address);
     let store = MemoryStore::default();
-    store.lacks_lists.store(true, Ordering::Relaxed);
-    let coordinator = EarlierCoordinator::start(runner).await;
+    store.withholds_lists.store(true, Ordering::Relaxed);
+    let coordinator = LegacyCoordinator::start(runner).await;
     let daemon = TestIngress::start_before("d", store, Arc::new(SilentControl)).await;
     let member = daemon.ingress.as_ref().unwrap().peer_address;
-    let summaries = coordinator.count_summaries(member, TOLD_WITHIN).await;
-    assert!(summaries > 3, "{summaries} in {TOLD_WITHIN:?}");
+    let summaries = coordinator.count_summaries(member, HOLDINGS_BOUND).await;
+    assert!(summaries > 3, "{summaries} in {HOLDINGS_BOUND:?}");
 }
--- a/crates/ingress/tests/ingress/requests.rs
+++ b/crates/ingress/tests/ingress/requests.rs
@@ -41,7 +41,7 @@
 async fn a_daemon_serves_once_the_first_page_of_the_list_has_come() {
     let server = ScriptedRunner::start(vec![Behaviour::Answer(200, "made")]).await;
     let store = MemoryStore::default();
-    store.lacks_pages.store(true, Ordering::Relaxed);
+    store.withholds_pages.store(true, Ordering::Relaxed);
     store.set_runners(vec![runner(0, server.address)]);
     store.set_configuration(configuration(1, Vec::new()));
     let control = Arc::new(ObedientControl::default());
--- a/crates/ingress/tests/ingress/store.rs
+++ b/crates/ingress/tests/ingress/store.rs
@@ -1,4 +1,4 @@
-//! A store in memory, with faults.
+//! In-memory store with fault injection.
 
 use std::cmp::Ordering;
 use std::sync::atomic::Ordering::Relaxed;
@@ -18,7 +18,7 @@
 use flaxward_routing::runners::Runner;
 use tokio::sync::Notify;
 
-const FIRST: StoreRevision = StoreRevision {
+const FIRST_REVISION: StoreRevision = StoreRevision {
     era: StoreEra::FIRST,
     number: 1,
 };
@@ -27,13 +27,13 @@
 struct Contents {
     configuration: Option<Configuration>,
     runners: Vec<Runner>,
-    gone: Vec<RunnerName>,
+    removed: Vec<RunnerName>,
     unreadable: Vec<UnreadableEntry>,
     evacuated: Vec<Zone>,
     revision: u64,
-    /// How often the store has come back from a copy.
-    eras: u64,
-    /// The record and its number.
+    /// Number of times that the store has been restored from a backup.
+    restores: u64,
+    /// The record and its revision number.
     lease: Option<(LeaseRecord, u64)>,
 }
 
@@ -42,47 +42,47 @@
         let (record, number) = self.lease.clone()?;
         let revision = StoreRevision {
             number,
-            ..self.at()
+            ..self.revision()
         };
         Some(StoredLease { record, revision })
     }
 
-    fn at(&self) -> StoreRevision {
+    fn revision(&self) -> StoreRevision {
         StoreRevision {
-            era: StoreEra::new(self.eras),
+            era: StoreEra::new(self.restores),
             number: self.revision,
         }
     }
 }
 
-/// What the store held at some time.
-pub struct StoreCopy(Contents);
+/// Contents of the store at some time.
+pub struct StoreBackup(Contents);
 
-/// One daemon's way to the store.
+/// One daemon's connection to the store.
 #[derive(Default)]
 pub struct MemoryStore {
     contents: Arc<Mutex<Contents>>,
     changed: Arc<Notify>,
-    /// Calls get no answer, and watches begun meanwhile never get one.
+    /// Calls get no answer, and watches started meanwhile never get one.
     pub is_silent: AtomicBool,
-    /// Time after which a change of the lease, once made, is answered, in ms.
+    /// Delay in ms between a change of the lease and its answer.
     pub lease_delay_ms: AtomicU64,
-    /// Watches begun and lists read.
+    /// Number of watches started and lists read.
     pub reads: AtomicU64,
-    /// Configurations read that had to be the latest.
+    /// Number of configuration reads that required the latest version.
     pub latest_reads: AtomicU64,
-    /// Answers that may be old hold this configuration.
-    pub old_configuration: Mutex<Option<Configuration>>,
-    /// Lists of runners have further pages that never come.
-    pub lacks_pages: AtomicBool,
+    /// Configuration that is returned to reads that allow a stale answer.
+    pub stale_configuration: Mutex<Option<Configuration>>,
+    /// Lists of runners announce further pages that never arrive.
+    pub withholds_pages: AtomicBool,
     /// Lists of runners are not answered.
-    pub lacks_lists: AtomicBool,
-    cut: Notify,
-    history_from: AtomicU64,
+    pub withholds_lists: AtomicBool,
+    watches_cut: Notify,
+    history_start: AtomicU64,
 }
 
 impl MemoryStore {
-    /// Another daemon's way to the same store.
+    /// Another daemon's connection to the same store.
     pub fn share(&self) -> Self {
         Self {
             contents: self.contents.clone(),
@@ -103,16 +103,16 @@
         let mut contents = self.contents.lock().unwrap();
         contents.revision += 1;
         let names: Vec<RunnerName> = runners.iter().map(|it| it.id.name().clone()).collect();
-        let before = std::mem::replace(&mut contents.runners, runners);
-        let before = before.into_iter().map(|it| it.id.name().clone());
+        let previous = std::mem::replace(&mut contents.runners, runners);
+        let previous = previous.into_iter().map(|it| it.id.name().clone());
         contents
-            .gone
-            .extend(before.filter(|name| !names.contains(name)));
+            .removed
+            .extend(previous.filter(|name| !names.contains(name)));
         drop(contents);
         self.changed.notify_waiters();
     }
 
-    /// Somebody writes an entry that can't be read over that of a runner, and one without a name.
+    /// Replaces the entry of a runner with an unreadable one, and adds an unreadable entry without a name.
     pub fn overwrite_runner(&self, name: &str) {
         let mut contents = self.contents.lock().unwrap();
         contents.revision += 1;
@@ -128,7 +128,7 @@
         self.changed.notify_waiters();
     }
 
-    pub fn set_evacuated(&self, zones: &[&str]) {
+    pub fn set_evacuated_zones(&self, zones: &[&str]) {
         let mut contents = self.contents.lock().unwrap();
         contents.revision += 1;
         contents.evacuated = zones.iter().map(|zone| Zone::new(zone)).collect();
@@ -136,28 +136,28 @@
         self.changed.notify_waiters();
     }
 
-    /// Makes a change of which watches hear nothing, forgets the history, and cuts the watches. One from
-    /// an older revision hears nothing any more.
+    /// Makes a change without notifying watches, discards the history, and cuts the watches. Watches from an older revision
+    /// are never answered from then on.
     pub fn change_and_lose_history(&self, configuration: Configuration) {
         let mut contents = self.contents.lock().unwrap();
         contents.revision += 1;
         contents.configuration = Some(configuration);
-        self.history_from.store(contents.revision, Relaxed);
+        self.history_start.store(contents.revision, Relaxed);
         drop(contents);
-        self.cut.notify_waiters();
+        self.watches_cut.notify_waiters();
     }
 
-    /// What the store holds now.
-    pub fn copy(&self) -> StoreCopy {
-        StoreCopy(self.contents.lock().unwrap().clone())
+    /// Backs up the present contents of the store.
+    pub fn backup(&self) -> StoreBackup {
+        StoreBackup(self.contents.lock().unwrap().clone())
     }
 
-    /// The store comes back from a copy. What was written since is lost, and its revisions are given out again.
-    pub fn restore(&self, copy: &StoreCopy) {
+    /// Restores the store from a backup. Later writes are lost, and their revisions are issued again.
+    pub fn restore(&self, backup: &StoreBackup) {
         let mut contents = self.contents.lock().unwrap();
-        let eras = contents.eras + 1;
-        *contents = copy.0.clone();
-        contents.eras = eras;
+        let restores = contents.restores + 1;
+        *contents = backup.0.clone();
+        contents.restores = restores;
         drop(contents);
         self.changed.notify_waiters();
     }
@@ -177,20 +177,20 @@
 
     async fn wait(&self, after: StoreRevision, wait: Duration) -> Result<(), StoreError> {
         self.reads.fetch_add(1, Relaxed);
-        let is_forgotten = after.number < self.history_from.load(Relaxed);
-        if is_forgotten || self.is_silent.load(Relaxed) {
+        let is_discarded = after.number < self.history_start.load(Relaxed);
+        if is_discarded || self.is_silent.load(Relaxed) {
             return std::future::pending().await;
         }
         let changed = self.changed.notified();
         match self.contents.lock().unwrap().revision.cmp(&after.number) {
             Ordering::Greater => return Ok(()),
-            // That revision is none of this history.
+            // The revision is not part of this history.
             Ordering::Less => return Err(StoreError::HistoryGone),
             Ordering::Equal => {}
         }
         tokio::select! {
             _ = tokio::time::timeout(wait, changed) => {}
-            () = self.cut.notified() => return Err(StoreError::NoAnswer("cut".to_owned())),
+            () = self.watches_cut.notified() => return Err(StoreError::NoAnswer("cut".to_owned())),
         }
         if self.is_silent.load(Relaxed) {
             std::future::pending::<()>().await;
@@ -206,10 +206,10 @@
         freshness: Freshness,
     ) -> Result<Listing<Configuration>, StoreError> {
         self.answer_list().await?;
-        let old = self.old_configuration.lock().unwrap().clone();
-        match (freshness, old) {
-            (Freshness::MayBeOld, Some(old)) => {
-                return Ok(Listing::new(vec![old], FIRST));
+        let stale = self.stale_configuration.lock().unwrap().clone();
+        match (freshness, stale) {
+            (Freshness::MayBeOld, Some(stale)) => {
+                return Ok(Listing::new(vec![stale], FIRST_REVISION));
             }
             (Freshness::MayBeOld, None) => {}
             (Freshness::Latest, _) => {
@@ -219,7 +219,7 @@
         let contents = self.contents.lock().unwrap();
         Ok(Listing::new(
             contents.configuration.iter().cloned().collect(),
-            contents.at(),
+            contents.revision(),
         ))
     }
 
@@ -234,13 +234,13 @@
 
     async fn runners(&self, _freshness: Freshness) -> Result<Listing<Runner>, StoreError> {
         self.answer_list().await?;
-        if self.lacks_lists.load(Relaxed) {
+        if self.withholds_lists.load(Relaxed) {
             std::future::pending::<()>().await;
         }
         let contents = self.contents.lock().unwrap();
         Ok(Listing {
             items: contents.runners.clone(),
-            revision: contents.at(),
+            revision: contents.revision(),
             unreadable: contents.unreadable.clone(),
         })
     }
@@ -251,7 +251,7 @@
         take_page: &TakePage<'_>,
     ) -> Result<Listing<Runner>, StoreError> {
         let listing = self.runners(freshness).await?;
-        if self.lacks_pages.load(Relaxed) {
+        if self.withholds_pages.load(Relaxed) {
             take_page(&listing.items);
             std::future::pending::<()>().await;
         }
@@ -265,13 +265,15 @@
     ) -> Result<Listing<RunnerChange>, StoreError> {
         self.wait(after, wait).await?;
         let listing = self.runners(Freshness::Latest).await?;
-        let gone = self.contents.lock().unwrap().gone.clone();
-        let gone = gone.into_iter().map(RunnerChange::Gone);
+        let removed = self.contents.lock().unwrap().removed.clone();
+        let removed = removed.into_iter().map(RunnerChange::Gone);
         let unreadable = listing.unreadable.into_iter();
-        let odd = gone.chain(unreadable.map(RunnerChange::Unreadable));
+        let without_entry = removed.chain(unreadable.map(RunnerChange::Unreadable));
         let present = listing.items.into_iter().map(Box::new);
         Ok(Listing::new(
-            odd.chain(present.map(RunnerChange::Present)).collect(),
+            without_entry
+                .chain(present.map(RunnerChange::Present))
+                .collect(),
             listing.revision,
         ))
     }
@@ -279,7 +281,10 @@
     async fn evacuated_zones(&self) -> Result<Listing<Zone>, StoreError> {
         self.answer_list().await?;
         let contents = self.contents.lock().unwrap();
-        Ok(Listing::new(contents.evacuated.clone(), contents.at()))
+        Ok(Listing::new(
+            contents.evacuated.clone(),
+            contents.revision(),
+        ))
     }
 
     async fn evacuations_changed(
@@ -288,7 +293,7 @@
         wait: Duration,
     ) -> Result<Watched, StoreError> {
         self.wait(after, wait).await?;
-        let revision = self.contents.lock().unwrap().at();
+        let revision = self.contents.lock().unwrap().revision();
         Ok(Watched {
             has_changes: revision > after,
             revision,
@@ -300,7 +305,7 @@
         let contents = self.contents.lock().unwrap();
         Ok(match contents.lease() {
             Some(lease) => LeaseReading::Found(lease),
-            None => LeaseReading::Missing(contents.at().era),
+            None => LeaseReading::Missing(contents.revision().era),
         })
     }
 
@@ -323,7 +328,7 @@
         let lease = {
             let mut contents = self.contents.lock().unwrap();
             match contents.lease() {
-                None => return Ok(Changed::Missing(contents.at().era)),
+                None => return Ok(Changed::Missing(contents.revision().era)),
                 Some(lease) if lease.revision.number != revision.number => {
                     return Ok(Changed::Conflict(lease));
                 }
--- a/crates/ingress/tests/ingress/suspension.rs
+++ b/crates/ingress/tests/ingress/suspension.rs
@@ -1,5 +1,5 @@
-//! The machine of a daemon is suspended: timers and messages keep their order, and only the clock that counts suspension
-//! tells of it.
+//! Suspension of a daemon's machine: timers and messages keep their order, and only the clock that counts suspended time
+//! shows it.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -17,48 +17,47 @@
     tenant,
 };
 
-/// One lease, and some time for others.
+/// Longer than one lease, with time left for a successor.
 const SUSPENSION: Duration = Duration::from_secs(4);
-/// Time until a daemon coordinates.
-const COORDINATED: Duration = Duration::from_millis(1_500);
+/// Time within which a daemon becomes the coordinator.
+const COORDINATION_BOUND: Duration = Duration::from_millis(1_500);
 
-/// The time of the system with suspensions that never were.
+/// System time with simulated suspensions.
 #[derive(Debug, Default)]
-struct Leaping {
+struct SuspendableTime {
     suspended_ms: AtomicU64,
 }
 
-impl Leaping {
+impl SuspendableTime {
     fn suspend(&self, time: Duration) {
         let time = u64::try_from(time.as_millis()).unwrap();
         self.suspended_ms.fetch_add(time, Ordering::Relaxed);
     }
 }
 
-impl TimeSource for Leaping {
+impl TimeSource for SuspendableTime {
     fn elapsed(&self) -> Duration {
         let suspended = self.suspended_ms.load(Ordering::Relaxed);
         SystemTime.elapsed() + Duration::from_millis(suspended)
     }
 }
 
-/// The store turns the daemon away from the moment at which it wakes, so that nothing but the clock tells it that its lease
-/// has ended.
+/// The store refuses the daemon from the moment it wakes, so that only the clock shows that its lease has expired.
 #[tokio::test]
-async fn a_coordinator_that_was_suspended_past_its_lease_gives_no_orders() {
+async fn a_coordinator_suspended_past_its_lease_sends_no_orders() {
     let server = ScriptedRunner::start(vec![Behaviour::Events(1, 2)]).await;
     let store = MemoryStore::default();
     store.set_runners(vec![runner(0, server.address)]);
     store.set_configuration(configuration(1, Vec::new()));
     let (time, control) = (
-        Arc::new(Leaping::default()),
+        Arc::new(SuspendableTime::default()),
         Arc::new(ObedientControl::default()),
     );
     let mut own_settings = settings("a");
     own_settings.time = time.clone();
     let daemon = TestIngress::start_with(own_settings, store.share(), control.clone()).await;
     daemon.until_ready().await;
-    sleep(COORDINATED).await;
+    sleep(COORDINATION_BOUND).await;
 
     daemon.store.is_silent.store(true, Ordering::Relaxed);
     time.suspend(SUSPENSION);
@@ -69,7 +68,7 @@
     sleep(Duration::from_millis(500)).await;
     assert_eq!(control.order_count(), 0);
 
-    // Once the store answers, it coordinates again.
+    // It coordinates again once the store answers.
     daemon.store.is_silent.store(false, Ordering::Relaxed);
     sleep(Duration::from_millis(2_000)).await;
     let request = daemon
@@ -79,14 +78,14 @@
     assert_eq!(control.order_count(), 1);
 }
 
-/// A key may have been taken away meanwhile.
+/// A key may have been revoked during the suspension.
 #[tokio::test]
-async fn keys_are_not_relied_on_after_a_suspension_until_they_are_confirmed() {
+async fn keys_are_not_trusted_after_a_suspension_until_they_are_confirmed() {
     let server = ScriptedRunner::start(Vec::new()).await;
     let store = MemoryStore::default();
     store.set_runners(vec![runner(0, server.address)]);
     store.set_configuration(configuration_with(1, vec![tenant("a", &["ka"], None)]));
-    let time = Arc::new(Leaping::default());
+    let time = Arc::new(SuspendableTime::default());
     let mut own_settings = settings("a");
     own_settings.time = time.clone();
     own_settings.key_trust = KeyTrust {
@@ -96,7 +95,7 @@
     let control = Arc::new(ObedientControl::default());
     let daemon = TestIngress::start_with(own_settings, store.share(), control).await;
     daemon.until_ready().await;
-    sleep(COORDINATED).await;
+    sleep(COORDINATION_BOUND).await;
     let status = async |id: &str| {
         let request = daemon.request("/safe/", id).header("x-key", "ka");
         request.send().await.unwrap().status().as_u16()
@@ -111,18 +110,18 @@
     assert_eq!(status("id-3").await, 200);
 }
 
-/// Found by reading: the time for which an answer was on its way left out a suspension, so that an answer from before the runner
-/// named its rate counted as one from after it, and the rate ended for all daemons.
+/// Guards against a transit time that leaves out a suspension: an answer sent before the runner named its rate limit then
+/// counted as sent after it, and the rate limit was removed on all daemons. Found in a review of the code.
 #[tokio::test]
-async fn an_answer_from_before_a_suspension_ends_no_rate_that_was_named_since() {
+async fn an_answer_from_before_a_suspension_does_not_remove_a_rate_limit_named_since() {
     const BURST: usize = 30;
-    // In 4 s, at a rate of 1 a second: one and a half times that, and 5.
+    // For 4 s at a rate of 1 per second: 1.5 times 4 requests, plus 5.
     const ALLOWED: usize = 11;
     let server = ScriptedRunner::start(vec![Behaviour::LateEvents(1, 2)]).await;
     let store = MemoryStore::default();
     store.set_runners(vec![runner(0, server.address)]);
     store.set_configuration(configuration(1, Vec::new()));
-    let time = Arc::new(Leaping::default());
+    let time = Arc::new(SuspendableTime::default());
     let mut own_settings = settings("a");
     own_settings.time = time.clone();
     let daemon = TestIngress::start_with(
@@ -136,18 +135,18 @@
     let late = tokio::spawn(daemon.request("/stream/", "late").send());
     sleep(Duration::from_millis(200)).await;
     server.set_notice("x-rate-limit: 1\r\n");
-    let told = daemon.request("/safe/", "told").send().await.unwrap();
-    assert_eq!(told.status(), 200);
+    let limited = daemon.request("/safe/", "limited").send().await.unwrap();
+    assert_eq!(limited.status(), 200);
     time.suspend(SUSPENSION);
     assert_eq!(late.await.unwrap().unwrap().status(), 200);
 
-    let before = server.received().len();
+    let previous = server.received().len();
     let mut requests = JoinSet::new();
     for number in 0..BURST {
         let request = daemon.request("/safe/", &format!("id-{number}"));
         requests.spawn(request.send());
     }
     requests.join_all().await;
-    let count = server.received().len() - before;
+    let count = server.received().len() - previous;
     assert!(count <= ALLOWED, "{count} requests");
 }
