--- a/crates/ingress/src/coordination/calls.rs
+++ b/crates/ingress/src/coordination/calls.rs
@@ -15,7 +15,7 @@
 use tokio::sync::mpsc::UnboundedSender;
 
 use crate::counters::{FOREIGN_REPORTS, ORDERS, STORE_LOAD_SECONDS, STORE_LOADS_ALLOWED};
-use crate::outside::{Changed, FencedOrder, LeaseReading, StoreError, UnreadableEntry};
+use crate::interfaces::{Changed, FencedOrder, LeaseLookup, StoreError, UnreadableEntry};
 use crate::state::Shared;
 use crate::unreadable::ObjectKind;
 
@@ -61,8 +61,8 @@
             let store = &shared.store;
             let answer = match call {
                 LeaseCall::Read => match store.lease().await {
-                    Ok(LeaseReading::Found(lease)) => LeaseAnswer::Found(lease),
-                    Ok(LeaseReading::Missing(era)) => LeaseAnswer::Missing(era),
+                    Ok(LeaseLookup::Found(lease)) => LeaseAnswer::Found(lease),
+                    Ok(LeaseLookup::Missing(era)) => LeaseAnswer::Missing(era),
                     Err(error) => failed(&shared, error),
                 },
                 LeaseCall::Create(record) => changed(&shared, store.create_lease(&record).await),
--- a/crates/ingress/src/coordination/mod.rs
+++ b/crates/ingress/src/coordination/mod.rs
@@ -34,7 +34,7 @@
 use tokio::time::sleep_until;
 
 use crate::counters::{NEWS_WITH_GAPS, PLAN_SECONDS, SUSPENSIONS};
-use crate::peer::{NotUnderstood, PeerSocket};
+use crate::peer::{PeerSocket, UndecodableMessage};
 use crate::spells::end_spells;
 use crate::state::Shared;
 use crate::watches::{take_evacuations, take_membership};
@@ -270,7 +270,7 @@
         let now = self.shared.now();
         let came_after = self.arrivals.earliest_arrival();
         match received {
-            Received::PassOn(forwarded) => self.peers.pass_on(forwarded, now.since(came_after)),
+            Received::PassOn(forwarded) => self.peers.forward(forwarded, now.since(came_after)),
             Received::Arrival(arrival) => {
                 self.note_way(arrival.from, now);
                 self.received(arrival.message, came_after - arrival.held);
@@ -280,7 +280,7 @@
 
     /// Logs, once for each address and reason, that a daemon has sent what this build does not understand: it may run
     /// another build, and to this one it is silent.
-    fn not_understood(&mut self, other: &NotUnderstood) {
+    fn not_understood(&mut self, other: &UndecodableMessage) {
         let reason = other.error.to_string();
         if self.not_understood.len() >= MAX_NOT_UNDERSTOOD {
             self.not_understood.clear();
--- a/crates/ingress/src/counted_store.rs
+++ b/crates/ingress/src/counted_store.rs
@@ -12,8 +12,8 @@
 use flaxward_routing::runners::Runner;
 
 use crate::counters::STORE_CALLS;
-use crate::outside::{
-    Changed, ClusterStore, Freshness, LeaseReading, Listing, RunnerChange, StoreError, TakePage,
+use crate::interfaces::{
+    Changed, ClusterStore, Freshness, LeaseLookup, Listing, PageHandler, RunnerChange, StoreError,
     Watched,
 };
 
@@ -72,7 +72,7 @@
     async fn runners_by_page(
         &self,
         freshness: Freshness,
-        take_page: &TakePage<'_>,
+        take_page: &PageHandler<'_>,
     ) -> Result<Listing<Runner>, StoreError> {
         counted(
             "runners",
@@ -92,16 +92,16 @@
         counted("evacuations", self.0.evacuated_zones().await)
     }
 
-    async fn evacuations_changed(
+    async fn watch_evacuation_changes(
         &self,
         after: StoreRevision,
         wait: Duration,
     ) -> Result<Watched, StoreError> {
-        let answer = self.0.evacuations_changed(after, wait).await;
+        let answer = self.0.watch_evacuation_changes(after, wait).await;
         counted("watch-evacuations", answer)
     }
 
-    async fn lease(&self) -> Result<LeaseReading, StoreError> {
+    async fn lease(&self) -> Result<LeaseLookup, StoreError> {
         counted("lease", self.0.lease().await)
     }
 
--- a/crates/ingress/src/daemon.rs
+++ b/crates/ingress/src/daemon.rs
@@ -12,9 +12,9 @@
 
 use crate::coordination::Coordination;
 use crate::counted_store::CountedStore;
-use crate::outside::{ClusterStore, RunnerControl, Surface};
+use crate::interfaces::{ClusterStore, RunnerControl, Surface};
 use crate::peer::PeerSocket;
-use crate::server::{ClientsEnd, listen, serve_clients, serve_metrics, serve_readiness};
+use crate::server::{ClientShutdown, listen, serve_clients, serve_metrics, serve_readiness};
 use crate::settings::IngressSettings;
 use crate::state::Shared;
 use crate::watches::{watch_configuration, watch_evacuations, watch_runners};
@@ -39,7 +39,7 @@
     pub peer_address: SocketAddr,
     shared: Arc<Shared>,
     tracker: TaskTracker,
-    clients_end: ClientsEnd,
+    clients_end: ClientShutdown,
 }
 
 /// Writes the counters as text.
@@ -80,7 +80,7 @@
         let peers = PeerSocket::bind(shared.settings.peer_listen, shared.clock.clone()).await?;
         let peer_address = peers.address()?;
         let tracker = TaskTracker::new();
-        let clients_end = ClientsEnd::default();
+        let clients_end = ClientShutdown::default();
         let client_server = serve_clients(
             shared.clone(),
             clients,
--- a/crates/ingress/src/decisions.rs
+++ b/crates/ingress/src/decisions.rs
@@ -1,7 +1,7 @@
-//! Lines of the log: one for each decision about a request or about what the daemon believes.
+//! Decision log: one line per decision about a request or per change of the daemon's state.
 //!
-//! The number of lines in a second is bounded; what is left out is counted and told with the next
-//! line that fits.
+//! The number of lines per second is limited. Dropped lines are counted, and their number is logged with the next
+//! line that is written.
 
 use std::fmt::Display;
 use std::sync::Mutex;
@@ -11,50 +11,50 @@
 
 use crate::counters::LINES_LEFT_OUT;
 
-/// Lines in a second at most.
-const LINES_A_SECOND: u32 = 200;
+/// Maximum number of lines per second.
+const MAX_LINES_PER_SECOND: u32 = 200;
 
 #[derive(Debug, Default)]
-struct Second {
-    number: u64,
+struct LogWindow {
+    second: u64,
     lines: u32,
-    left_out: u64,
+    dropped: u64,
 }
 
-/// Writes lines and keeps their number bounded.
+/// Writes log lines at a limited rate.
 #[derive(Debug, Default)]
 pub(crate) struct DecisionLog {
-    second: Mutex<Second>,
+    window: Mutex<LogWindow>,
 }
 
 impl DecisionLog {
-    /// Writes a line, unless too many were written in this second.
+    /// Writes a line, or drops it if the limit for this second is reached.
     pub(crate) fn write(&self, now: Timestamp, event: &str, fields: &[(&str, &dyn Display)]) {
-        let Some(left_out) = self.admit(now) else {
+        let Some(dropped) = self.admit(now) else {
             metrics::counter!(LINES_LEFT_OUT.name).increment(1);
             return;
         };
-        if left_out > 0 {
-            state_change("lines-left-out", &[("lines", &left_out)]);
+        if dropped > 0 {
+            state_change("lines-left-out", &[("lines", &dropped)]);
         }
         state_change(event, fields);
     }
 
-    /// The number of lines left out before this one, or `None` if this one is left out too.
+    /// Returns the number of lines dropped since the last one written, or `None` if this one must be dropped too.
     fn admit(&self, now: Timestamp) -> Option<u64> {
-        let Ok(mut second) = self.second.lock() else {
+        let Ok(mut window) = self.window.lock() else {
             return None;
         };
-        let number = now.0 / 1_000;
-        if second.number != number {
-            second.number = number;
-            second.lines = 0;
+        let second = now.0 / 1_000;
+        if window.second != second {
+            window.second = second;
+            window.lines = 0;
         }
-        if second.lines >= LINES_A_SECOND {
-            second.left_out += 1;
+        if window.lines >= MAX_LINES_PER_SECOND {
+            window.dropped += 1;
             return None;
         }
-        second.lines += 1;
-        Some(std::mem::take(&mut second.left_out))
+        window.lines += 1;
+        Some(std::mem::take(&mut window.dropped))
     }
 }
--- a/crates/ingress/src/job.rs
+++ b/crates/ingress/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! A request that is sent to runners, one after another, until there is an answer.
+//! Dispatch of a request: attempts at one runner after another until one responds.
 
 use std::fmt::Display;
 use std::sync::Arc;
@@ -18,65 +18,68 @@
 use http::header::CONTENT_LENGTH;
 use tokio::time::{Instant, sleep};
 
-use crate::answers::{self, AnswerBody};
 use crate::counters::{ATTEMPTS_FAILED, HEAD_SECONDS, SERVED};
 use crate::crashes::{note_break, until_quarantined};
 use crate::exchange::{
-    ClientRequest, Continuation, Exchange, FailedAttempt, exchange, remove_connection_headers,
+    ClientRequest, Continuation, Exchange, FailedAttempt, exchange, remove_hop_by_hop_headers,
 };
 use crate::permits::{Admission, admit};
 use crate::refused::{Details, RETRY_AFTER, Refused};
 use crate::relay::{self, StreamRelay};
+use crate::responses::{self, ResponseBody};
 use crate::state::Shared;
 use crate::waiting::{wait_for_room, wait_for_unit};
 
-/// Longest answer without a stream that is held until it is whole.
-const HELD_ANSWER_BYTES: usize = 4 * 1024 * 1024;
-/// Shortest time that one attempt of several gets.
-const LEAST_PATIENCE: Duration = Duration::from_millis(450);
-/// Part of the callers' patience that one attempt of several at a stream gets.
-const PATIENCE_SHARE: f64 = 0.5;
-/// The same for other requests, in targets.
-const PATIENCE_TARGETS: f64 = 1.6;
-/// Pause before runners that were full are asked again.
-const FULL_PAUSE: Duration = Duration::from_millis(80);
-/// How much longer the next such pause is: a runner that is full twice has a long queue, and each time it is asked
-/// costs a repeat of the budget.
-const FULL_PAUSE_GROWTH: u32 = 4;
-/// Pause before a runner is asked for again after a permit that ended unused: connecting takes too long just now.
-const PERMIT_ENDED_PAUSE: Duration = Duration::from_millis(100);
-/// Shortest time left with which a request is sent to a runner.
-const LEAST_TIME: Duration = Duration::from_millis(5);
-/// When to come back if no runner in the homes of a request takes work: one that is replaced is back after some seconds.
+/// Maximum size of a response that is buffered completely before it is forwarded.
+const MAX_BUFFERED_BYTES: usize = 4 * 1024 * 1024;
+/// Minimum timeout of an attempt that may be followed by another one.
+const MIN_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(450);
+/// Timeout of a stream attempt that may be followed by another one, as a fraction of the route's stream silence
+/// timeout.
+const STREAM_TIMEOUT_SHARE: f64 = 0.5;
+/// The same timeout for other requests, as a multiple of the route's latency target.
+const TARGET_TIMEOUT_FACTOR: f64 = 1.6;
+/// First delay before runners that were full are tried again.
+const FULL_BACKOFF: Duration = Duration::from_millis(80);
+/// Growth of that delay per round: a runner that is full twice has a long queue, and each attempt consumes retry
+/// budget.
+const FULL_BACKOFF_FACTOR: u32 = 4;
+/// Delay before a runner is selected again after a permit for it has expired unused, because connecting to it currently
+/// takes too long.
+const PERMIT_EXPIRED_BACKOFF: Duration = Duration::from_millis(100);
+/// Minimum time to the deadline with which a request is still sent to a runner.
+const MIN_TIME_LEFT: Duration = Duration::from_millis(5);
+/// `Retry-After` if no runner in the home regions of a request accepts work: a runner that is being replaced is back
+/// within seconds.
 const RETRY_NO_HOME_RUNNER: Duration = Duration::from_secs(3);
 
-/// A request that is being sent to runners.
-pub(crate) struct Job {
+/// State of a request that is being sent to runners.
+pub(crate) struct Dispatch {
     shared: Arc<Shared>,
     request: Arc<ClientRequest>,
     route: Arc<Route>,
     service: ServiceName,
     attempts: Attempts,
     tried: Vec<RunnerId>,
-    /// Runners that need a permit and have no room for the request yet.
+    /// Runners that need a permit and have no capacity for the request yet.
     permit_waits: Vec<PermitWait>,
     last_failure: Option<Failure>,
-    /// A runner's own failure, passed on if no other runner does better.
-    held_answer: Option<Response<AnswerBody>>,
-    begun: Instant,
-    /// An attempt is under way.
-    is_sending: bool,
+    /// A runner's own error response, forwarded if no other runner succeeds.
+    error_response: Option<Response<ResponseBody>>,
+    arrived_at: Instant,
+    /// Whether an attempt is in progress.
+    is_attempting: bool,
     guard: Option<Box<dyn Send>>,
 }
 
-impl Job {
-    /// A request that was sent nowhere yet.
+impl Dispatch {
+    /// Creates the dispatch of a request that has not been sent to any runner.
     pub(crate) fn new(
         shared: Arc<Shared>,
         request: ClientRequest,
         route: Arc<Route>,
         service: ServiceName,
-        begun: Instant,
+        arrived_at: Instant,
     ) -> Self {
         Self {
             shared,
@@ -87,107 +90,107 @@
             tried: Vec::new(),
             permit_waits: Vec::new(),
             last_failure: None,
-            held_answer: None,
-            begun,
-            is_sending: false,
+            error_response: None,
+            arrived_at,
+            is_attempting: false,
             guard: None,
         }
     }
 
-    /// Sends the request until there is an answer, or until the daemon ends.
+    /// Sends the request to runners until there is a final response or the daemon terminates.
     ///
-    /// `guard` is kept until the answer has ended.
+    /// `guard` is dropped after the response has ended.
     pub(crate) async fn run(
         mut self,
         guard: Box<dyn Send>,
-    ) -> Result<Response<AnswerBody>, Refused> {
+    ) -> Result<Response<ResponseBody>, Refused> {
         self.guard = Some(guard);
         if self.shared.quarantined_for(&self.request).is_none() {
-            self.count();
+            self.count_request();
         }
         let ending = self.shared.ending.clone();
-        let answered = tokio::select! {
+        let result = tokio::select! {
             biased;
-            answered = self.send() => Some(answered),
+            result = self.send() => Some(result),
             () = ending.cancelled() => None,
         };
-        if let Some(answered) = answered {
-            return answered;
+        if let Some(result) = result {
+            return result;
         }
-        if self.is_sending {
+        if self.is_attempting {
             self.attempts.record_failure(Failure::Silent);
         }
-        self.give_up("the daemon ends")
+        self.give_up("the daemon is terminating")
     }
 
-    async fn send(&mut self) -> Result<Response<AnswerBody>, Refused> {
+    async fn send(&mut self) -> Result<Response<ResponseBody>, Refused> {
         let mut full_rounds = 0;
         loop {
-            if self.request.time_left() < LEAST_TIME {
-                return self.give_up("time is up");
+            if self.request.time_left() < MIN_TIME_LEFT {
+                return self.give_up("the deadline has passed");
             }
             if let Some(remaining) = self.shared.quarantined_for(&self.request) {
                 return self.quarantined(remaining);
             }
             let runner = match self.choose() {
                 Ok(runner) => runner,
-                Err(NoRunner::NotLoaded) => match self.wait().await {
+                Err(NoRunner::NotLoaded) => match self.wait_until_loaded().await {
                     Ok(()) => continue,
                     Err(refusal) => return self.not_ready(refusal),
                 },
                 Err(NoRunner::NoRoom { until }) => match self.wait_for_room(until).await {
                     Ok(()) => continue,
-                    // Those that were full may have room sooner.
-                    Err(_) if !self.tried.is_empty() && self.may_ask_again(full_rounds) => {
-                        self.pause_before_round(full_rounds).await;
+                    // Runners that were full may have capacity sooner.
+                    Err(_) if !self.tried.is_empty() && self.may_retry_full(full_rounds) => {
+                        self.back_off(full_rounds).await;
                         full_rounds += 1;
                         continue;
                     }
-                    Err(refusal) => return self.no_room(refusal),
+                    Err(refusal) => return self.no_capacity(refusal),
                 },
-                Err(NoRunner::AllTried) if self.may_ask_again(full_rounds) => {
-                    self.pause_before_round(full_rounds).await;
+                Err(NoRunner::AllTried) if self.may_retry_full(full_rounds) => {
+                    self.back_off(full_rounds).await;
                     full_rounds += 1;
                     continue;
                 }
-                Err(NoRunner::AllTried) => return self.give_up("no further runner"),
-                Err(NoRunner::NoneAtHome) => return self.none_at_home(),
-                Err(NoRunner::NoneOfService) => return self.give_up("no runner of the service"),
+                Err(NoRunner::AllTried) => return self.give_up("no other runner available"),
+                Err(NoRunner::NoneAtHome) => return self.no_home_runner(),
+                Err(NoRunner::NoneOfService) => return self.give_up("the service has no runner"),
             };
             let admission = match admit(&self.shared, &self.request, &runner).await {
                 Ok(admission) => admission,
                 Err(until) => {
-                    self.hold_back(&runner, until);
+                    self.defer_runner(&runner, until);
                     continue;
                 }
             };
-            let is_repeat = self.attempts.sent > 0;
-            if is_repeat && !self.shared.try_repeat(&self.service) {
+            let is_retry = self.attempts.sent > 0;
+            if is_retry && !self.shared.try_repeat(&self.service) {
                 return self.give_up("the retry budget is spent");
             }
-            self.is_sending = true;
+            self.is_attempting = true;
             let sent_at = Instant::now();
-            let attempted = self.attempt(&runner, &admission).await;
-            self.is_sending = false;
-            match attempted {
+            let result = self.attempt(&runner, &admission).await;
+            self.is_attempting = false;
+            match result {
                 Ok(response) => return Ok(response),
                 Err(failed) if failed.failure == Failure::NotPermitted => {
-                    self.permit_ended(&runner);
+                    self.permit_expired(&runner);
                     continue;
                 }
-                Err(failed) => self.count_failure(&runner, failed, sent_at.elapsed()),
+                Err(failed) => self.record_failed_attempt(&runner, failed, sent_at.elapsed()),
             }
             if self.last_failure == Some(Failure::Broken) {
                 note_break(&self.shared, &self.request, &runner).await;
             }
             let max_attempts = self.route.max_attempts;
             if !self.attempts.may_retry(self.route.kind, max_attempts) {
-                return self.give_up("the request may not be sent again");
+                return self.give_up("the request may not be retried");
             }
         }
     }
 
-    fn count(&self) {
+    fn count_request(&self) {
         let now = self.shared.now();
         let mut tables = self.shared.tables();
         tables.budget.count_request(&self.service, now);
@@ -202,7 +205,7 @@
 
     fn choose_except(&self, tried: &[RunnerId]) -> Result<Runner, NoRunner> {
         let has_parts = self.request.profile.parts.len() > 1;
-        let wanted = SelectionCriteria {
+        let criteria = SelectionCriteria {
             service: &self.service,
             unit: self.request.unit.as_ref(),
             affinity: has_parts.then(|| self.request.profile.affinity()),
@@ -210,24 +213,24 @@
             tried,
             permit_waits: &self.permit_waits,
         };
-        self.shared.choose(&wanted)
+        self.shared.choose(&criteria)
     }
 
-    async fn wait(&mut self) -> Result<(), Refusal> {
+    async fn wait_until_loaded(&mut self) -> Result<(), Refusal> {
         let Some(requirement) = self.request.requirement() else {
             return Ok(());
         };
         let (shared, request) = (&self.shared, &self.request);
-        let waiting = wait_for_unit(shared, request, &self.route, &requirement, self.begun);
+        let waiting = wait_for_unit(shared, request, &self.route, &requirement, self.arrived_at);
         tokio::select! {
-            waited = waiting => waited,
-            // The next look tells the caller.
+            result = waiting => result,
+            // The caller checks the quarantine next.
             () = until_quarantined(&self.shared, &self.request) => Ok(()),
         }
     }
 
-    /// Looks for other runners until a time at which one that needs a permit may have room.
-    fn hold_back(&mut self, runner: &Runner, until: Timestamp) {
+    /// Excludes a runner that needs a permit from selection until it may have capacity.
+    fn defer_runner(&mut self, runner: &Runner, until: Timestamp) {
         let now = self.shared.now();
         self.permit_waits.retain(|it| it.until > now);
         self.permit_waits.push(PermitWait {
@@ -236,37 +239,45 @@
         });
     }
 
-    /// The permit ended before the request could be sent, or the runner has said meanwhile that it takes no such request.
-    fn permit_ended(&mut self, runner: &Runner) {
+    /// Handles a permit that expired before the request was sent, or a runner that has meanwhile announced that it does
+    /// not accept such requests.
+    fn permit_expired(&mut self, runner: &Runner) {
         let fields: &[(&str, &dyn Display)] = &[
             ("request", &self.request.profile.id),
             ("runner", &runner.id),
         ];
         let now = self.shared.now();
         self.shared.log.write(now, "permit-ended", fields);
-        self.hold_back(runner, now + PERMIT_ENDED_PAUSE);
+        self.defer_runner(runner, now + PERMIT_EXPIRED_BACKOFF);
     }
 
     async fn wait_for_room(&mut self, until: Timestamp) -> Result<(), Refusal> {
-        let waiting = wait_for_room(&self.shared, &self.request, &self.route, until, self.begun);
+        let waiting = wait_for_room(
+            &self.shared,
+            &self.request,
+            &self.route,
+            until,
+            self.arrived_at,
+        );
         tokio::select! {
-            waited = waiting => waited,
-            // The next look tells the caller.
+            result = waiting => result,
+            // The caller checks the quarantine next.
             () = until_quarantined(&self.shared, &self.request) => Ok(()),
         }
     }
 
-    /// The final answer when no runner that holds the unit has room in time.
-    fn no_room(&mut self, refusal: Refusal) -> Result<Response<AnswerBody>, Refused> {
-        const REASON: &str = "the runners rest, are cold or name a rate, and have no room in time";
+    /// Final response if no runner that holds the unit has capacity in time.
+    fn no_capacity(&mut self, refusal: Refusal) -> Result<Response<ResponseBody>, Refused> {
+        const REASON: &str =
+            "all runners are resting, cold or rate-limited, and none has capacity in time";
         if !self.attempts.definitely_not_run() {
             return self.give_up(REASON);
         }
         Err(self.refused(refusal, REASON))
     }
 
-    /// The final answer when the unit is not ready in time. Only a request that surely has not run is told so.
-    fn not_ready(&mut self, refusal: Refusal) -> Result<Response<AnswerBody>, Refused> {
+    /// Final response if the unit is not ready in time. It says that the request has not run only if that is certain.
+    fn not_ready(&mut self, refusal: Refusal) -> Result<Response<ResponseBody>, Refused> {
         let reason = match self.request.requirement() {
             Some(requirement) => format!("{requirement} is not ready in time"),
             None => "not ready in time".to_owned(),
@@ -277,14 +288,14 @@
         Err(self.refused(refusal, &reason))
     }
 
-    /// Pauses before runners that were full are asked again.
-    async fn pause_before_round(&mut self, full_rounds: u32) {
-        let pause = FULL_PAUSE * FULL_PAUSE_GROWTH.pow(full_rounds);
+    /// Waits before runners that were full are tried again.
+    async fn back_off(&mut self, full_rounds: u32) {
+        let backoff = FULL_BACKOFF * FULL_BACKOFF_FACTOR.pow(full_rounds);
         self.tried.clear();
-        sleep(pause.min(self.request.time_left())).await;
+        sleep(backoff.min(self.request.time_left())).await;
     }
 
-    fn may_ask_again(&self, full_rounds: u32) -> bool {
+    fn may_retry_full(&self, full_rounds: u32) -> bool {
         let may_serve = match self.last_failure {
             Some(Failure::NotRun | Failure::Misdirected | Failure::Broken) => true,
             Some(Failure::NotSent | Failure::NotPermitted | Failure::Failed | Failure::Silent)
@@ -293,7 +304,7 @@
         may_serve && full_rounds < 2
     }
 
-    fn count_failure(&mut self, runner: &Runner, failed: FailedAttempt, lasted: Duration) {
+    fn record_failed_attempt(&mut self, runner: &Runner, failed: FailedAttempt, lasted: Duration) {
         if let Some(observation) = failed.observation {
             self.shared.observe(&runner.id, observation);
         }
@@ -320,31 +331,33 @@
             .write(self.shared.now(), "attempt-failed", fields);
     }
 
-    /// When this attempt is given up so that another one is possible. A runner may be silent because
-    /// it is full, so that giving up only helps if there is another one.
-    fn patience(&self, runner: &Runner) -> Instant {
+    /// The time at which this attempt is abandoned in favour of another one. A runner may be silent because it is full,
+    /// so the attempt is abandoned before the request's deadline only if there is another runner.
+    fn attempt_deadline(&self, runner: &Runner) -> Instant {
         let mut next = self.attempts;
         next.record_failure(Failure::Silent);
         let tried: Vec<RunnerId> = self.tried.iter().chain([&runner.id]).cloned().collect();
-        let may_repeat = next.may_retry(self.route.kind, self.route.max_attempts);
-        if !may_repeat || self.choose_except(&tried).is_err() {
+        let may_retry = next.may_retry(self.route.kind, self.route.max_attempts);
+        if !may_retry || self.choose_except(&tried).is_err() {
             return self.request.deadline;
         }
-        let patience = if self.route.kind.is_stream() {
-            self.route.stream_silence_timeout().mul_f64(PATIENCE_SHARE)
+        let timeout = if self.route.kind.is_stream() {
+            self.route
+                .stream_silence_timeout()
+                .mul_f64(STREAM_TIMEOUT_SHARE)
         } else {
-            let patience = self.route.target.mul_f64(PATIENCE_TARGETS);
-            patience.max(LEAST_PATIENCE)
+            let timeout = self.route.target.mul_f64(TARGET_TIMEOUT_FACTOR);
+            timeout.max(MIN_ATTEMPT_TIMEOUT)
         };
-        (Instant::now() + patience).min(self.request.deadline)
+        (Instant::now() + timeout).min(self.request.deadline)
     }
 
     async fn attempt(
         &mut self,
         runner: &Runner,
         admission: &Admission,
-    ) -> Result<Response<AnswerBody>, FailedAttempt> {
-        let patience = self.patience(runner);
+    ) -> Result<Response<ResponseBody>, FailedAttempt> {
+        let attempt_deadline = self.attempt_deadline(runner);
         let continuation = Continuation::default();
         let exchange = exchange(
             &self.shared,
@@ -352,21 +365,21 @@
             runner,
             admission,
             continuation,
-            patience,
+            attempt_deadline,
         )
         .await?;
         if exchange.head.status.is_success() && self.route.kind.is_stream() {
-            return self.stream(exchange, patience).await;
+            return self.stream_response(exchange, attempt_deadline).await;
         }
-        self.whole_answer(exchange, patience).await
+        self.buffered_response(exchange, attempt_deadline).await
     }
 
-    async fn stream(
+    async fn stream_response(
         &mut self,
         exchange: Exchange,
-        patience: Instant,
-    ) -> Result<Response<AnswerBody>, FailedAttempt> {
-        let mut response = passed_head(&exchange);
+        attempt_deadline: Instant,
+    ) -> Result<Response<ResponseBody>, FailedAttempt> {
+        let mut response = forwarded_head(&exchange);
         let runner = exchange.runner.id.clone();
         let mut relay = StreamRelay::new(
             self.shared.clone(),
@@ -375,7 +388,7 @@
             self.service.clone(),
             exchange,
         );
-        if let Err(failure) = relay.first_event(patience).await {
+        if let Err(failure) = relay.wait_first_event(attempt_deadline).await {
             return Err(FailedAttempt {
                 failure,
                 observation: Some(Observation::Failure),
@@ -391,12 +404,12 @@
         Ok(response)
     }
 
-    async fn whole_answer(
+    async fn buffered_response(
         &mut self,
         exchange: Exchange,
-        patience: Instant,
-    ) -> Result<Response<AnswerBody>, FailedAttempt> {
-        let mut response = passed_head(&exchange);
+        attempt_deadline: Instant,
+    ) -> Result<Response<ResponseBody>, FailedAttempt> {
+        let mut response = forwarded_head(&exchange);
         let Exchange {
             body,
             connection,
@@ -404,7 +417,7 @@
             in_flight,
             ..
         } = exchange;
-        let collected = relay::collect(body, HELD_ANSWER_BYTES, patience).await;
+        let collected = relay::collect(body, MAX_BUFFERED_BYTES, attempt_deadline).await;
         drop(in_flight);
         let bytes = collected.map_err(|failure| FailedAttempt {
             failure,
@@ -414,10 +427,10 @@
             self.shared.pool.put(connection);
         }
         self.shared.note_completed(&self.request);
-        *response.body_mut() = answers::whole(bytes);
+        *response.body_mut() = responses::full_body(bytes);
         let failed = response.status().is_server_error();
         if failed && self.may_replace_failure() {
-            self.held_answer = Some(response);
+            self.error_response = Some(response);
             return Err(FailedAttempt {
                 failure: Failure::Failed,
                 observation: Some(Observation::Failure),
@@ -433,7 +446,7 @@
         Ok(response)
     }
 
-    /// Whether another runner may be asked after a failure that the runner itself has told.
+    /// Returns whether another runner may be tried after an error response of this one.
     fn may_replace_failure(&self) -> bool {
         let mut next = self.attempts;
         next.record_failure(Failure::Failed);
@@ -441,7 +454,7 @@
     }
 
     fn log_served(&self, runner: &RunnerId, status: u16) {
-        let elapsed = self.begun.elapsed();
+        let elapsed = self.arrived_at.elapsed();
         let class = format!("{}xx", status / 100);
         metrics::counter!(SERVED.name, "status" => class).increment(1);
         metrics::histogram!(HEAD_SECONDS.name).record(elapsed.as_secs_f64());
@@ -458,10 +471,10 @@
             .write(self.shared.now(), "request-served", fields);
     }
 
-    /// The final answer when runners have crashed under the request. Without it the request would be sent on to runner
-    /// after runner, and each crash breaks off all that the runner serves.
-    fn quarantined(&mut self, remaining: Duration) -> Result<Response<AnswerBody>, Refused> {
-        const REASON: &str = "runners have crashed under the request";
+    /// Final response if the request is quarantined because runners have crashed while running it. Otherwise it would
+    /// be sent to runner after runner, and each crash aborts all other requests on that runner.
+    fn quarantined(&mut self, remaining: Duration) -> Result<Response<ResponseBody>, Refused> {
+        const REASON: &str = "runners have crashed while running the request";
         if !self.attempts.definitely_not_run() {
             return self.give_up(REASON);
         }
@@ -469,10 +482,10 @@
         Err(self.refused(refusal, REASON))
     }
 
-    /// The final answer when no runner that takes work is within the homes of the request.
-    fn none_at_home(&mut self) -> Result<Response<AnswerBody>, Refused> {
+    /// Final response if no runner in the request's home regions accepts work.
+    fn no_home_runner(&mut self) -> Result<Response<ResponseBody>, Refused> {
         let reason = format!(
-            "no runner of {} takes work in the homes {}",
+            "no runner of {} accepts work in the home regions {}",
             self.service, self.request.homes
         );
         if !self.attempts.definitely_not_run() {
@@ -482,12 +495,12 @@
         Err(self.refused(refusal, &reason))
     }
 
-    /// The final answer when no further attempt is made.
-    fn give_up(&mut self, reason: &str) -> Result<Response<AnswerBody>, Refused> {
-        if let Some(response) = self.held_answer.take() {
+    /// Final response when no further attempt is made.
+    fn give_up(&mut self, reason: &str) -> Result<Response<ResponseBody>, Refused> {
+        if let Some(response) = self.error_response.take() {
             return Ok(response);
         }
-        let is_late = self.request.time_left() < LEAST_TIME;
+        let is_late = self.request.time_left() < MIN_TIME_LEFT;
         let refusal = if self.attempts.definitely_not_run() {
             let code = match self.last_failure {
                 _ if is_late => ResultCode::DeadlineTooShort,
@@ -519,12 +532,12 @@
     }
 }
 
-/// The head of a runner's answer without what concerns its connection.
-fn passed_head(exchange: &Exchange) -> Response<AnswerBody> {
-    let mut response = Response::new(answers::whole(Bytes::new()));
+/// Copies a runner's response head without its hop-by-hop headers and content length.
+fn forwarded_head(exchange: &Exchange) -> Response<ResponseBody> {
+    let mut response = Response::new(responses::full_body(Bytes::new()));
     *response.status_mut() = exchange.head.status;
     let mut headers = exchange.head.headers.clone();
-    remove_connection_headers(&mut headers);
+    remove_hop_by_hop_headers(&mut headers);
     headers.remove(CONTENT_LENGTH);
     *response.headers_mut() = headers;
     response
--- a/crates/ingress/src/exchange.rs
+++ b/crates/ingress/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One attempt at one runner, up to the head of its answer.
+//! A single attempt at a runner, up to the response head.
 
 use std::sync::{Arc, OnceLock};
 use std::time::Duration;
@@ -19,19 +19,19 @@
 use hyper::body::Incoming;
 use tokio::time::{Instant, timeout_at};
 
-use crate::outside::{HeadKind, Passage};
+use crate::interfaces::{ForwardingContext, HeadKind};
 use crate::permits::Admission;
 use crate::pool::{Connection, SendError};
 use crate::state::{InFlight, Shared};
 
-/// Bodies longer than this may still be on their way when an early answer comes.
-const SURELY_SENT_BYTES: usize = 4 * 1024;
+/// Request bodies longer than this may still be in transit when an early response arrives.
+const MAX_ASSUMED_SENT_BYTES: usize = 4 * 1024;
 
-/// A request of a client, read whole.
+/// A client request with its complete body.
 #[derive(Clone, Debug)]
 pub(crate) struct ClientRequest {
     pub method: Method,
-    /// The host that the client named.
+    /// The host that the client addressed.
     pub host: String,
     pub uri: Uri,
     pub headers: HeaderMap,
@@ -39,17 +39,17 @@
     pub profile: RequestProfile,
     pub kind: RouteKind,
     pub priority: u8,
-    /// Where it may be served, by the configuration under which it came.
+    /// Regions in which it may be served, by the configuration in force on its arrival.
     pub homes: Homes,
     pub tenant: Option<Arc<Tenant>>,
     pub unit: Option<Unit>,
     pub deadline: Instant,
-    /// Found when it is first asked for: most requests never need it.
+    /// Computed on first use, because most requests never need it.
     pub fingerprint: OnceLock<RequestFingerprint>,
 }
 
 impl ClientRequest {
-    /// What stays the same when the client tries again.
+    /// Fingerprint of the request, which stays the same when the client retries.
     pub(crate) fn fingerprint(&self) -> RequestFingerprint {
         *self.fingerprint.get_or_init(|| {
             RequestFingerprint::of(&RequestContent {
@@ -65,7 +65,7 @@
         })
     }
 
-    /// The unit that it needs and where, if it needs one.
+    /// The unit that the request needs and the regions it may be in, if it needs one.
     pub(crate) fn requirement(&self) -> Option<Requirement> {
         Some(Requirement {
             unit: self.unit.clone()?,
@@ -78,7 +78,7 @@
     }
 }
 
-/// A runner's answer, of which the head has come.
+/// A runner's response whose head has been received.
 pub(crate) struct Exchange {
     pub head: http::response::Parts,
     pub body: Incoming,
@@ -88,23 +88,23 @@
     pub weights_version: Option<u64>,
 }
 
-/// Where a stream is continued.
+/// The point from which a stream is continued.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Continuation<'a> {
     pub last_event: Option<&'a str>,
     pub weights_version: Option<u64>,
 }
 
-/// An attempt that came to no answer which can be passed on.
+/// An attempt without a response that can be forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct FailedAttempt {
     pub failure: Failure,
-    /// The runner cannot be reached or does not behave, so its health suffers.
+    /// Health observation if the runner is unreachable or misbehaves.
     pub observation: Option<Observation>,
 }
 
 impl FailedAttempt {
-    /// One that was not begun, because a cold runner has no room.
+    /// An attempt that was not started, because there was no valid permit for it.
     pub(crate) fn not_permitted() -> Self {
         Self::new(Failure::NotPermitted, None)
     }
@@ -117,29 +117,29 @@
     }
 }
 
-/// Sends a request to a runner and waits for the head of the answer, until `patience` at most.
+/// Sends a request to a runner and waits for the response head until `attempt_deadline`.
 pub(crate) async fn exchange(
     shared: &Arc<Shared>,
     request: &ClientRequest,
     runner: &Runner,
     admission: &Admission,
     continuation: Continuation<'_>,
-    patience: Instant,
+    attempt_deadline: Instant,
 ) -> Result<Exchange, FailedAttempt> {
     let in_flight = InFlight::begin(shared, &runner.id, request.unit.as_ref());
-    let may_repeat = request.kind.may_repeat();
-    let connecting = shared.pool.get(runner.address, may_repeat);
-    let Ok(Ok(mut connection)) = timeout_at(patience, connecting).await else {
+    let may_retry = request.kind.may_repeat();
+    let connecting = shared.pool.get(runner.address, may_retry);
+    let Ok(Ok(mut connection)) = timeout_at(attempt_deadline, connecting).await else {
         let observation = Some(Observation::Unreachable);
         return Err(FailedAttempt::new(Failure::NotSent, observation));
     };
     let outgoing = outgoing_request(shared, request, runner, continuation);
-    // A daemon may have been suspended since it got its permit, and a runner may just have turned cold.
+    // The daemon may have been suspended since it got its permit, or the runner may have become cold.
     if !shared.may_send(runner, admission) {
         shared.pool.put(connection);
         return Err(FailedAttempt::not_permitted());
     }
-    let response = match timeout_at(patience, connection.send(outgoing)).await {
+    let response = match timeout_at(attempt_deadline, connection.send(outgoing)).await {
         Ok(Ok(response)) => response,
         Ok(Err(error)) => return Err(send_failure(&error, &connection)),
         Err(_) => {
@@ -147,11 +147,11 @@
             return Err(FailedAttempt::new(Failure::Silent, observation));
         }
     };
-    judge(shared, request, runner, connection, response, in_flight)
+    classify_response(shared, request, runner, connection, response, in_flight)
 }
 
 fn send_failure(error: &SendError, connection: &Connection) -> FailedAttempt {
-    // A kept connection that ends is the runner's right; a new one that breaks is not.
+    // A runner may close a kept-alive connection at any time; a new connection that breaks is a fault.
     let observation = (!connection.is_reused()).then_some(Observation::Failure);
     match error {
         SendError::Refused | SendError::Connect | SendError::NotSent => {
@@ -161,7 +161,7 @@
     }
 }
 
-fn judge(
+fn classify_response(
     shared: &Arc<Shared>,
     request: &ClientRequest,
     runner: &Runner,
@@ -173,7 +173,7 @@
     let is_encoded = head.headers.contains_key(CONTENT_ENCODING);
     let kind = shared
         .surface
-        .judge(&request.profile.id, head.status, &head.headers);
+        .classify(&request.profile.id, head.status, &head.headers);
     if matches!(kind, HeadKind::Answer | HeadKind::NotRun) {
         let notice = shared.surface.notice(head.status, &head.headers);
         shared.heard_notice(&runner.id, notice, in_flight.sent_at());
@@ -196,8 +196,9 @@
             return Err(FailedAttempt::new(Failure::Broken, observation));
         }
     }
-    // An answer that comes before the body was taken in whole leaves the rest of it on the way.
-    let is_early = !head.status.is_success() && request.body.len() > SURELY_SENT_BYTES;
+    // If the response arrives before the body was read completely, the rest of the body is still in transit, so the
+    // connection cannot be reused.
+    let is_early = !head.status.is_success() && request.body.len() > MAX_ASSUMED_SENT_BYTES;
     let weights_version = shared.surface.weights_version(&head.headers);
     Ok(Exchange {
         head,
@@ -220,7 +221,7 @@
     *outgoing.uri_mut() = request.uri.clone();
     *outgoing.version_mut() = Version::HTTP_11;
     let mut headers = request.headers.clone();
-    let passage = Passage {
+    let context = ForwardingContext {
         time_left: request.time_left(),
         runner: &runner.id,
         priority: request.priority,
@@ -228,23 +229,23 @@
         last_event: continuation.last_event,
         weights_version: continuation.weights_version,
     };
-    shared.surface.prepare(&mut headers, &passage);
+    shared.surface.prepare(&mut headers, &context);
     *outgoing.headers_mut() = headers;
     outgoing
 }
 
-/// Headers that concern one connection only.
-const CONNECTION_HEADERS: [HeaderName; 5] = [CONNECTION, TE, TRAILER, TRANSFER_ENCODING, UPGRADE];
-/// The same, without a constant of their own.
-const MORE_CONNECTION_HEADERS: [&str; 4] = [
+/// Hop-by-hop headers.
+const HOP_BY_HOP_HEADERS: [HeaderName; 5] = [CONNECTION, TE, TRAILER, TRANSFER_ENCODING, UPGRADE];
+/// Further hop-by-hop headers, listed by name.
+const OTHER_HOP_BY_HOP_HEADERS: [&str; 4] = [
     "keep-alive",
     "proxy-connection",
     "proxy-authenticate",
     "proxy-authorization",
 ];
 
-/// Removes the headers that concern one connection only, those that `Connection` names included.
-pub(crate) fn remove_connection_headers(headers: &mut HeaderMap) {
+/// Removes the hop-by-hop headers, including those named by `Connection`.
+pub(crate) fn remove_hop_by_hop_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
@@ -252,10 +253,10 @@
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in named.iter().chain(&CONNECTION_HEADERS) {
+    for name in named.iter().chain(&HOP_BY_HOP_HEADERS) {
         headers.remove(name);
     }
-    for name in MORE_CONNECTION_HEADERS {
+    for name in OTHER_HOP_BY_HOP_HEADERS {
         headers.remove(name);
     }
 }
--- a/crates/ingress/src/handler.rs
+++ b/crates/ingress/src/handler.rs
@@ -1,5 +1,5 @@
-//! A request from its arrival to the first look at what it needs: which configuration, route and service it
-//! falls under. [`Job`] sends it to runners.
+//! Handling of a request from its arrival until its route, tenant and service are determined. [`Dispatch`] then sends
+//! it to runners.
 
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, OnceLock};
@@ -18,30 +18,31 @@
 use tokio::time::{Instant, timeout_at};
 
 use crate::access;
-use crate::answers::{self, AnswerBody};
-use crate::exchange::{ClientRequest, remove_connection_headers};
-use crate::job::Job;
+use crate::dispatch::Dispatch;
+use crate::exchange::{ClientRequest, remove_hop_by_hop_headers};
 use crate::refused::{RETRY_AFTER, Refused};
+use crate::responses::{self, ResponseBody};
 use crate::state::Shared;
 
-/// Requests in progress at one daemon at most.
+/// Maximum number of requests in progress per daemon.
 const MAX_REQUESTS: u32 = 2_000;
-/// When to come back to a daemon that knows no configuration yet.
+/// `Retry-After` of a daemon that has no configuration yet.
 const RETRY_UNCONFIGURED: Duration = Duration::from_millis(300);
-/// When to come back, to another daemon, if this one stops.
+/// `Retry-After` of a daemon that is stopping; the client should reach another one.
 const RETRY_STOPPING: Duration = Duration::from_millis(20);
 
-/// When to come back if only another configuration helps: the time in which one is in force everywhere at the target size.
+/// `Retry-After` if only a new configuration helps: the time in which one takes effect on all daemons at the target
+/// cluster size.
 const RETRY_NO_COMMON_HOME: Duration = Duration::from_secs(10);
 
-/// Counts a request as in progress for as long as it lives, its answer included.
+/// Counts a request as in progress until it is dropped, which is after its response has ended.
 struct InProgress(Arc<Shared>);
 
 impl InProgress {
     fn begin(shared: &Arc<Shared>) -> Option<Self> {
-        let before = shared.requests.fetch_add(1, Ordering::Relaxed);
+        let in_progress = shared.requests.fetch_add(1, Ordering::Relaxed);
         let guard = Self(shared.clone());
-        (before < MAX_REQUESTS).then_some(guard)
+        (in_progress < MAX_REQUESTS).then_some(guard)
     }
 }
 
@@ -51,17 +52,17 @@
     }
 }
 
-/// Answers a request.
+/// Handles a client request.
 pub(crate) async fn handle(
     shared: Arc<Shared>,
     request: Request<Incoming>,
-) -> Response<AnswerBody> {
-    let begun = Instant::now();
-    let mut response = match serve(&shared, request, begun).await {
+) -> Response<ResponseBody> {
+    let arrived_at = Instant::now();
+    let mut response = match serve(&shared, request, arrived_at).await {
         Ok(response) => response,
         Err(refused) => {
-            refused.log(&shared, begun);
-            answers::refusal(refused.refusal())
+            refused.log(&shared, arrived_at);
+            responses::refusal(refused.refusal())
         }
     };
     if shared.is_stopping() {
@@ -73,34 +74,34 @@
     response
 }
 
-fn early(code: ResultCode, request: &str, reason: &str) -> Refused {
+fn refuse_early(code: ResultCode, request: &str, reason: &str) -> Refused {
     Refused::unsent(request, "", Refusal::new(code), reason.to_owned())
 }
 
 async fn serve(
     shared: &Arc<Shared>,
     request: Request<Incoming>,
-    begun: Instant,
-) -> Result<Response<AnswerBody>, Refused> {
+    arrived_at: Instant,
+) -> Result<Response<ResponseBody>, Refused> {
     let Some(guard) = InProgress::begin(shared) else {
-        let mut refused = early(ResultCode::Overloaded, "", "too many requests in progress");
+        let mut refused = refuse_early(ResultCode::Overloaded, "", "too many requests in progress");
         refused.refusal_mut().retry_after = Some(RETRY_AFTER);
         return Err(refused);
     };
     if shared.is_closing() {
-        let mut refused = early(ResultCode::Stopping, "", "the daemon stops");
+        let mut refused = refuse_early(ResultCode::Stopping, "", "the daemon is stopping");
         refused.refusal_mut().retry_after = Some(RETRY_STOPPING);
         return Err(refused);
     }
     let Some(configuration) = shared.configuration() else {
-        let mut refused = early(ResultCode::NoConfiguration, "", "no configuration");
+        let mut refused = refuse_early(ResultCode::NoConfiguration, "", "no configuration loaded");
         refused.refusal_mut().retry_after = Some(RETRY_UNCONFIGURED);
         return Err(refused);
     };
     let profile = shared.surface.profile(request.headers());
     let profile = profile.map_err(|error| {
         let reason = error.to_string();
-        early(ResultCode::BadHeader, "", &reason)
+        refuse_early(ResultCode::BadHeader, "", &reason)
     })?;
     let id = profile.id.clone();
     let host = host(request.headers(), request.uri().authority());
@@ -110,27 +111,27 @@
             "no route for {host}{path} in version {}",
             configuration.version
         );
-        return Err(early(ResultCode::UnknownPath, &id, &reason));
+        return Err(refuse_early(ResultCode::UnknownPath, &id, &reason));
     };
     let tenant = access::tenant(shared, &configuration, &route, &id, request.headers())?;
     let bound_by = access::bound_by(shared, &configuration, request.headers());
     let homes = homes(&route, bound_by.as_deref());
     if homes.is_empty() {
-        return Err(nowhere_at_home(&id, &route, bound_by.as_deref()));
+        return Err(no_common_home(&id, &route, bound_by.as_deref()));
     }
-    let allowed = profile
+    let time_limit = profile
         .deadline
         .map_or(route.timeout, |deadline| deadline.min(route.timeout));
-    let deadline = begun + allowed;
+    let deadline = arrived_at + time_limit;
     let (head, body) = request.into_parts();
     let body = read_body(body, &configuration, deadline)
         .await
-        .map_err(|code| early(code, &id, "the body was not read"))?;
+        .map_err(|code| refuse_early(code, &id, "the request body could not be read"))?;
     let Some(service) = shared.choose_service(&route, &homes) else {
-        return Err(early(
+        return Err(refuse_early(
             ResultCode::NoServiceMachine,
             &id,
-            "the route has no service",
+            "the route has no available service",
         ));
     };
     let charge = match &tenant {
@@ -145,7 +146,7 @@
         method: head.method,
         host,
         uri: origin_form(&head.uri),
-        headers: passed_headers(shared, &configuration, head.headers),
+        headers: forwarded_headers(shared, &configuration, head.headers),
         body,
         profile,
         kind: route.kind,
@@ -156,23 +157,23 @@
         deadline,
         fingerprint: OnceLock::new(),
     };
-    let job = Job::new(shared.clone(), client_request, route, service, begun);
-    let answered = job.run(Box::new(guard)).await;
-    if let (Err(refused), Some(charge)) = (&answered, charge)
+    let dispatch = Dispatch::new(shared.clone(), client_request, route, service, arrived_at);
+    let result = dispatch.run(Box::new(guard)).await;
+    if let (Err(refused), Some(charge)) = (&result, charge)
         && refused.refusal().code.not_run()
     {
         charge.give_back(shared);
     }
-    answered
+    result
 }
 
-/// Rank of a request: that of its tenant, if it has one.
+/// Priority of a request: that of its tenant if set, otherwise that of its route.
 fn priority(route: &Route, tenant: Option<&Tenant>) -> u8 {
-    let of_tenant = tenant.and_then(|tenant| tenant.priority);
-    of_tenant.unwrap_or(route.priority)
+    let tenant_priority = tenant.and_then(|tenant| tenant.priority);
+    tenant_priority.unwrap_or(route.priority)
 }
 
-/// Where a request may be served: where both its route and its tenant allow it.
+/// Regions in which a request may be served: those that both its route and its tenant allow.
 fn homes(route: &Route, tenant: Option<&Tenant>) -> Homes {
     match tenant {
         Some(tenant) => route.homes.intersection(&tenant.homes),
@@ -180,18 +181,18 @@
     }
 }
 
-/// The refusal of a request that may be served in no region at all.
-fn nowhere_at_home(id: &str, route: &Route, tenant: Option<&Tenant>) -> Refused {
-    let of_tenant = tenant.map_or(&Homes::Anywhere, |tenant| &tenant.homes);
+/// Refusal of a request whose route and tenant have no home region in common.
+fn no_common_home(id: &str, route: &Route, tenant: Option<&Tenant>) -> Refused {
+    let tenant_homes = tenant.map_or(&Homes::Anywhere, |tenant| &tenant.homes);
     let reason = format!(
-        "the homes of the route, {}, and of the tenant, {of_tenant}, have no region in common",
+        "the homes of the route, {}, and of the tenant, {tenant_homes}, have no region in common",
         route.homes
     );
     let refusal = Refusal::new(ResultCode::NoHomeRunner).with_retry_after(RETRY_NO_COMMON_HOME);
     Refused::unsent(id, route.name.as_str(), refusal, reason)
 }
 
-/// The host that the client named.
+/// The host from the `Host` header or the request target.
 fn host(headers: &HeaderMap, authority: Option<&http::uri::Authority>) -> String {
     let named = headers.get(HOST).and_then(|value| value.to_str().ok());
     named
@@ -200,13 +201,13 @@
         .to_owned()
 }
 
-/// Path and query alone, as they go to a runner.
+/// Reduces a URI to origin form (path and query), as sent to runners.
 fn origin_form(uri: &http::Uri) -> http::Uri {
     let path = uri.path_and_query().cloned();
     path.map_or_else(|| uri.clone(), http::Uri::from)
 }
 
-fn passed_headers(
+fn forwarded_headers(
     shared: &Shared,
     configuration: &Configuration,
     mut headers: HeaderMap,
@@ -214,7 +215,7 @@
     if !configuration.tenants().is_empty() {
         shared.surface.remove_key(&mut headers);
     }
-    remove_connection_headers(&mut headers);
+    remove_hop_by_hop_headers(&mut headers);
     headers.remove(EXPECT);
     headers.remove(CONTENT_LENGTH);
     headers
--- a/crates/ingress/src/lib.rs
+++ b/crates/ingress/src/lib.rs
@@ -2,30 +2,30 @@
 //! takes part in deciding what is loaded where.
 //!
 //! Decisions stand in `flaxward-routing`; this crate holds the sockets. What the daemon speaks to the
-//! outside is behind the traits of [`outside`].
+//! outside is behind the traits of [`interfaces`].
 
 #![warn(clippy::pedantic)]
 #![allow(clippy::module_name_repetitions, clippy::must_use_candidate)]
 
 mod access;
-mod answers;
 mod coordination;
 mod counted_store;
 pub mod counters;
 mod crashes;
 mod daemon;
 mod decisions;
+mod dispatch;
 mod exchange;
 mod handler;
-mod job;
+pub mod interfaces;
 mod keeper_client;
 mod notices;
-pub mod outside;
 mod peer;
 mod permits;
 mod pool;
 mod refused;
 mod relay;
+mod responses;
 mod server;
 pub mod settings;
 mod spells;
--- a/crates/ingress/src/peer.rs
+++ b/crates/ingress/src/peer.rs
@@ -1,4 +1,4 @@
-//! The socket for messages between daemons.
+//! UDP socket for messages between daemons.
 
 use std::io::ErrorKind;
 use std::mem::MaybeUninit;
@@ -18,18 +18,19 @@
     MESSAGES_OF_EARLIER_BUILDS,
 };
 
-/// Longest datagram that is read, in bytes.
+/// Maximum size of a received datagram.
 const MAX_DATAGRAM_BYTES: usize = 64 * 1024;
 
-/// Something that came which is no message of a kind that this build knows.
+/// A received datagram that is not a message known to this build.
 #[derive(Debug)]
-pub(crate) struct NotUnderstood {
-    /// Who has sent it, or passed it on.
+pub(crate) struct UndecodableMessage {
+    /// The daemon that sent or forwarded it.
     pub source: SocketAddr,
     pub error: MessageError,
 }
 
-/// Sends and receives messages by UDP, to daemons that are not reached directly through others. A message may be lost.
+/// Sends and receives messages over UDP. Daemons that cannot be reached directly are reached through relays. Delivery
+/// is not guaranteed.
 #[derive(Debug)]
 pub(crate) struct PeerSocket {
     socket: UdpSocket,
@@ -39,14 +40,14 @@
 }
 
 impl PeerSocket {
-    /// Listens at an address.
+    /// Binds the socket to an address.
     ///
     /// # Errors
-    /// Fails if the address cannot be listened at.
+    /// Fails if the address cannot be bound.
     pub(crate) async fn bind(address: SocketAddr, clock: Clock) -> anyhow::Result<Self> {
         let socket = UdpSocket::bind(address)
             .await
-            .with_context(|| format!("cannot listen for daemons at {address}"))?;
+            .with_context(|| format!("cannot bind the peer socket to {address}"))?;
         let own = socket.local_addr()?;
         Ok(Self {
             socket,
@@ -56,20 +57,20 @@
         })
     }
 
-    /// Where it listens.
+    /// The local address of the socket.
     ///
     /// # Errors
-    /// Fails if the socket has no address.
+    /// Fails if the operating system does not report the local address.
     pub(crate) fn address(&self) -> anyhow::Result<SocketAddr> {
         Ok(self.socket.local_addr()?)
     }
 
-    /// The ways to daemons that are not reached directly.
+    /// The relays to daemons that cannot be reached directly.
     pub(crate) fn hops(&mut self) -> &mut NextHops {
         &mut self.hops
     }
 
-    /// Sends a message, without waiting.
+    /// Sends a message without blocking. Counts it as not sent if the socket does not accept it.
     pub(crate) fn send(&self, to: SocketAddr, message: &Message) {
         for (address, datagram) in self.hops.datagrams(to, message, self.clock.now()) {
             let length = u64::try_from(datagram.len()).unwrap_or(u64::MAX);
@@ -78,10 +79,10 @@
         }
     }
 
-    /// Passes a message on that may have lain here for a time.
-    pub(crate) fn pass_on(&self, forwarded: Forwarded, held: Duration) {
+    /// Forwards a message on behalf of another daemon; `queued_for` is how long it was queued here.
+    pub(crate) fn forward(&self, forwarded: Forwarded, queued_for: Duration) {
         metrics::counter!(MESSAGES_FORWARDED.name).increment(1);
-        let (address, datagram) = forwarded.pass_on(held);
+        let (address, datagram) = forwarded.pass_on(queued_for);
         self.send_datagram(address, &datagram);
     }
 
@@ -91,19 +92,19 @@
         }
     }
 
-    /// Whether no message has come that was not received yet. Asks the kernel: what the runtime knows of the socket
-    /// may be as old as its last wait.
+    /// Returns whether the socket's receive buffer is empty. Peeks at the socket itself, because the runtime's
+    /// readiness state may be as old as its last poll.
     pub(crate) fn is_empty(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         let peeked = SockRef::from(&self.socket).peek(&mut byte);
         peeked.is_err_and(|error| error.kind() == ErrorKind::WouldBlock)
     }
 
-    /// The next message; `None` if the socket told of something else.
+    /// Receives the next message. Returns `None` if the socket reported an error instead.
     ///
     /// # Errors
-    /// Fails if something else than a message has come.
-    pub(crate) async fn receive(&mut self) -> Result<Option<Received>, NotUnderstood> {
+    /// Fails if the datagram cannot be decoded as a message.
+    pub(crate) async fn receive(&mut self) -> Result<Option<Received>, UndecodableMessage> {
         let Ok((length, source)) = self.socket.recv_from(&mut self.buffer).await else {
             return Ok(None);
         };
@@ -116,7 +117,7 @@
         }
         received.map(Some).map_err(|error| {
             metrics::counter!(MESSAGES_MALFORMED.name).increment(1);
-            NotUnderstood { source, error }
+            UndecodableMessage { source, error }
         })
     }
 }
--- a/crates/ingress/src/pool.rs
+++ b/crates/ingress/src/pool.rs
@@ -1,7 +1,7 @@
-//! Connections to runners.
+//! Pool of connections to runners.
 //!
-//! hyper's connection interface is used instead of reqwest, because the ingress must know which
-//! connection an answer came on, when it was last used, and whether anything was sent on it.
+//! hyper's connection API is used instead of reqwest, because the ingress must know on which connection a response
+//! arrived, when that connection was last used, and whether any bytes were sent on it.
 
 use std::collections::{BTreeSet, HashMap};
 use std::io::ErrorKind;
@@ -24,20 +24,20 @@
 
 use crate::counters::CONNECTIONS_OPENED;
 
-/// Time allowed for a connection to come about.
+/// Timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
-/// Time for which an idle connection is kept if the runner names none.
-const DEFAULT_IDLE: Duration = Duration::from_secs(4);
-/// Part of the time that the runner names for which an idle connection is used again.
-const IDLE_SHARE: f64 = 0.6;
-/// The same for requests that must not be repeated.
-const CAREFUL_IDLE_SHARE: f64 = 0.35;
-/// Time after which unacknowledged bytes end a connection.
-const USER_TIMEOUT: Duration = Duration::from_secs(4);
-/// Idle connections to one runner at most.
-const MAX_IDLE: usize = 16;
-
-/// A connection that carries one request at a time. Dropping it closes it.
+/// Keep-alive time of a connection whose runner sends no `Keep-Alive` header.
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(4);
+/// Fraction of the keep-alive time during which an idle connection is reused.
+const KEEP_ALIVE_SHARE: f64 = 0.6;
+/// The same fraction for requests that must not be retried.
+const NO_RETRY_KEEP_ALIVE_SHARE: f64 = 0.35;
+/// `TCP_USER_TIMEOUT` of the connections: the time after which unacknowledged data closes them.
+const TCP_USER_TIMEOUT: Duration = Duration::from_secs(4);
+/// Maximum number of idle connections per address.
+const MAX_IDLE_PER_ADDRESS: usize = 16;
+
+/// A connection that carries one request at a time and is closed on drop.
 #[derive(Debug)]
 pub(crate) struct Connection {
     sender: SendRequest<Full<Bytes>>,
@@ -54,44 +54,45 @@
     }
 }
 
-/// Why no answer came.
+/// Why a request got no response.
 #[derive(Debug)]
 pub(crate) enum SendError {
-    /// Nothing listens at the address.
+    /// The connection was refused: nothing listens at the address.
     Refused,
-    /// No connection came about for another reason.
+    /// The connection could not be established for another reason.
     Connect,
-    /// The connection ended before any byte of the request could be sent.
+    /// The connection was closed before any byte of the request was sent.
     NotSent,
-    /// The connection broke after something was sent.
+    /// The connection broke after bytes of the request were sent.
     Broken,
 }
 
-/// Idle connections by address.
+/// Idle connections, by address.
 #[derive(Debug, Default)]
 pub(crate) struct Pool {
     idle: Mutex<HashMap<SocketAddr, Vec<Connection>>>,
-    /// Who listened where at the last sweep.
-    lives: Mutex<Lives>,
+    /// The listed runners as of the last sweep.
+    known_runners: Mutex<RunnersByAddress>,
 }
 
-/// Lives of runners by their address. An ended one may still be listed beside the one that has its address now.
-pub(crate) type Lives = HashMap<SocketAddr, BTreeSet<RunnerId>>;
+/// Runner incarnations by address. An incarnation that has ended may still be listed along with its successor at the
+/// same address.
+pub(crate) type RunnersByAddress = HashMap<SocketAddr, BTreeSet<RunnerId>>;
 
 impl Pool {
-    /// A connection that is ready for a request.
+    /// Returns an idle connection that is ready for a request, or opens one.
     pub(crate) async fn get(
         &self,
         address: SocketAddr,
-        may_repeat: bool,
+        may_retry: bool,
     ) -> Result<Connection, SendError> {
-        if let Some(connection) = self.take_idle(address, may_repeat) {
+        if let Some(connection) = self.take_idle(address, may_retry) {
             return Ok(connection);
         }
         open(address).await
     }
 
-    /// Whether nothing listens at an address. A connection that comes about is kept for a later request.
+    /// Returns whether connections to an address are refused. A connection established by this check is kept for reuse.
     pub(crate) async fn is_refused(&self, address: SocketAddr) -> bool {
         match open(address).await {
             Ok(connection) => {
@@ -102,15 +103,15 @@
         }
     }
 
-    fn take_idle(&self, address: SocketAddr, may_repeat: bool) -> Option<Connection> {
+    fn take_idle(&self, address: SocketAddr, may_retry: bool) -> Option<Connection> {
         let mut idle = self.idle.lock().ok()?;
         let connections = idle.get_mut(&address)?;
-        let share = if may_repeat {
-            IDLE_SHARE
+        let share = if may_retry {
+            KEEP_ALIVE_SHARE
         } else {
-            CAREFUL_IDLE_SHARE
+            NO_RETRY_KEEP_ALIVE_SHARE
         };
-        connections.retain(|connection| connection.is_usable(IDLE_SHARE));
+        connections.retain(|connection| connection.is_usable(KEEP_ALIVE_SHARE));
         let index = connections
             .iter()
             .rposition(|connection| connection.is_usable(share))?;
@@ -119,37 +120,37 @@
         Some(connection)
     }
 
-    /// Takes a connection back whose answer was whole.
+    /// Returns a connection to the pool after its response was read completely.
     pub(crate) fn put(&self, mut connection: Connection) {
         connection.used_at = Instant::now();
         let Ok(mut idle) = self.idle.lock() else {
             return;
         };
         let connections = idle.entry(connection.address).or_default();
-        if connections.len() < MAX_IDLE {
+        if connections.len() < MAX_IDLE_PER_ADDRESS {
             connections.push(connection);
         }
     }
 
-    /// Closes idle connections that are too old, and those to addresses at which another life of a runner has come since
-    /// the last sweep, or where none is left: they would break with the first request on them, which perhaps must not be
-    /// repeated.
-    pub(crate) fn sweep(&self, lives: Lives) {
-        let (Ok(mut idle), Ok(mut before)) = (self.idle.lock(), self.lives.lock()) else {
+    /// Closes idle connections that have expired, and those to addresses where a new runner incarnation was listed
+    /// since the last sweep or none is listed any more. These would break on their next request, which may not be
+    /// retryable.
+    pub(crate) fn sweep(&self, runners: RunnersByAddress) {
+        let (Ok(mut idle), Ok(mut previous)) = (self.idle.lock(), self.known_runners.lock()) else {
             return;
         };
         idle.retain(|address, connections| {
-            connections.retain(|connection| connection.is_usable(IDLE_SHARE));
-            let known = before.get(address);
+            connections.retain(|connection| connection.is_usable(KEEP_ALIVE_SHARE));
+            let known = previous.get(address);
             let is_same =
-                |present: &BTreeSet<RunnerId>| known.is_none_or(|known| present.is_subset(known));
-            !connections.is_empty() && lives.get(address).is_some_and(is_same)
+                |current: &BTreeSet<RunnerId>| known.is_none_or(|known| current.is_subset(known));
+            !connections.is_empty() && runners.get(address).is_some_and(is_same)
         });
-        *before = lives;
+        *previous = runners;
     }
 }
 
-/// Opens a connection, in a bounded time.
+/// Opens a connection within `CONNECT_TIMEOUT`.
 async fn open(address: SocketAddr) -> Result<Connection, SendError> {
     metrics::counter!(CONNECTIONS_OPENED.name).increment(1);
     let connecting = timeout(CONNECT_TIMEOUT, connect(address));
@@ -164,7 +165,7 @@
             _ => SendError::Connect,
         })?;
     let _ = stream.set_nodelay(true);
-    let _ = SockRef::from(&stream).set_tcp_user_timeout(Some(USER_TIMEOUT));
+    let _ = SockRef::from(&stream).set_tcp_user_timeout(Some(TCP_USER_TIMEOUT));
     let (sender, driver) = handshake(TokioIo::new(stream))
         .await
         .map_err(|_| SendError::Connect)?;
@@ -175,7 +176,7 @@
         sender,
         driver: driver.abort_handle(),
         address,
-        keep_alive: DEFAULT_IDLE,
+        keep_alive: DEFAULT_KEEP_ALIVE,
         used_at: Instant::now(),
         is_reused: false,
     })
@@ -183,11 +184,11 @@
 
 impl Connection {
     fn is_usable(&self, share: f64) -> bool {
-        let rested = self.used_at.elapsed();
-        self.sender.is_ready() && rested < self.keep_alive.mul_f64(share)
+        let idle_time = self.used_at.elapsed();
+        self.sender.is_ready() && idle_time < self.keep_alive.mul_f64(share)
     }
 
-    /// Sends a request and waits for the head of the answer.
+    /// Sends a request and waits for the response head.
     pub(crate) async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -197,7 +198,7 @@
         }
         match self.sender.try_send_request(request).await {
             Ok(response) => {
-                self.note_keep_alive(response.headers());
+                self.update_keep_alive(response.headers());
                 Ok(response)
             }
             Err(mut error) => match error.take_message() {
@@ -207,7 +208,7 @@
         }
     }
 
-    fn note_keep_alive(&mut self, headers: &HeaderMap) {
+    fn update_keep_alive(&mut self, headers: &HeaderMap) {
         if let Some(keep_alive) = keep_alive(headers) {
             self.keep_alive = keep_alive;
         }
@@ -220,13 +221,13 @@
         }
     }
 
-    /// Whether the connection has carried a request before this one.
+    /// Returns whether the connection has carried an earlier request.
     pub(crate) fn is_reused(&self) -> bool {
         self.is_reused
     }
 }
 
-/// The time of `Keep-Alive: timeout=SECONDS`.
+/// Parses the timeout from `Keep-Alive: timeout=SECONDS`.
 fn keep_alive(headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get("keep-alive")?.to_str().ok()?;
     let timeout = text
--- a/crates/ingress/src/refused.rs
+++ b/crates/ingress/src/refused.rs
@@ -1,4 +1,4 @@
-//! Refusals, and what the log tells of them.
+//! Refusals and how they are logged.
 
 use std::fmt::Display;
 use std::time::Duration;
@@ -10,13 +10,13 @@
 use crate::counters::REFUSED;
 use crate::state::Shared;
 
-/// When to come back after a refusal for want of a runner.
+/// `Retry-After` of a refusal because no runner is available.
 pub(crate) const RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// A refusal with what the log tells of it.
+/// A refusal with the context that is logged with it.
 pub(crate) struct Refused(Box<Details>);
 
-/// What the log tells of a refusal.
+/// Context logged with a refusal.
 pub(crate) struct Details {
     pub request: String,
     pub route: String,
@@ -30,7 +30,7 @@
         Self(Box::new(details))
     }
 
-    /// A refusal of a request that was sent nowhere.
+    /// Creates the refusal of a request that was not sent to any runner.
     pub(crate) fn unsent(request: &str, route: &str, refusal: Refusal, reason: String) -> Self {
         Self::new(Details {
             request: request.to_owned(),
@@ -41,18 +41,17 @@
         })
     }
 
-    /// What the client is told.
+    /// The refusal as sent to the client.
     pub(crate) fn refusal(&self) -> &Refusal {
         &self.0.refusal
     }
 
-    /// The same, to be changed.
     pub(crate) fn refusal_mut(&mut self) -> &mut Refusal {
         &mut self.0.refusal
     }
 
-    /// Counts and logs it.
-    pub(crate) fn log(&self, shared: &Shared, begun: Instant) {
+    /// Increments the refusal counter and logs the refusal.
+    pub(crate) fn log(&self, shared: &Shared, arrived_at: Instant) {
         let Details {
             request,
             route,
@@ -70,7 +69,7 @@
             ("reason", reason),
             ("sent", &attempts.sent),
             ("runs", &attempts.runs),
-            ("after_ms", &begun.elapsed().as_millis()),
+            ("after_ms", &arrived_at.elapsed().as_millis()),
             ("retry_after_ms", &retry_after),
         ];
         shared.log.write(shared.now(), "request-refused", fields);
--- a/crates/ingress/src/relay.rs
+++ b/crates/ingress/src/relay.rs
@@ -1,4 +1,4 @@
-//! Passes a stream of events on, and continues it at another runner if it breaks.
+//! Relays an event stream to the client and continues it at another runner if it breaks or stalls.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,46 +17,47 @@
 use thiserror::Error;
 use tokio::time::{Instant, timeout, timeout_at};
 
-use crate::answers::AnswerBody;
 use crate::counters::{STREAMS_BROKEN, STREAMS_LATE, STREAMS_RESUMED};
 use crate::crashes::note_break;
 use crate::exchange::{ClientRequest, Continuation, Exchange, FailedAttempt, exchange};
 use crate::permits::{Admission, admit_until};
+use crate::responses::ResponseBody;
 use crate::state::Shared;
 
-/// Shortest time for the head and first event of a continued stream.
-const LEAST_PATIENCE: Duration = Duration::from_secs(1);
-/// Part of the callers' patience after which a silent stream is continued elsewhere. A runner may be
-/// silent while it serves more urgent requests, so this is late.
-const SILENCE_SHARE: f64 = 0.7;
-/// Time in which a runner that is full rejects a stream which is to be continued there. The silent one still runs it
-/// meanwhile; both must not do so for longer.
-const REJECTION_WAIT: Duration = Duration::from_millis(200);
-
-/// Time after its first events in which a stream counts as just begun when its runner crashes: a request that crashes
-/// runners does so within its first steps, some tenths of a second, and streams that have run longer are innocent.
-const JUST_BEGUN: Duration = Duration::from_secs(1);
-
-/// Why an answer breaks off. The connection to the client is closed without the end of the answer.
+/// Minimum timeout for the response head of a continued stream.
+const MIN_CONTINUATION_TIMEOUT: Duration = Duration::from_secs(1);
+/// Fraction of the route's stream silence timeout after which a stalled stream is continued at another runner. It is
+/// high because a runner may be silent while it serves requests of higher priority.
+const STALL_TIMEOUT_SHARE: f64 = 0.7;
+/// Time in which a full runner rejects a stream that is to be continued there. The stalled runner is still running the
+/// request during this time, and both must not run it for longer.
+const REJECTION_TIMEOUT: Duration = Duration::from_millis(200);
+
+/// Time after its first events during which a stream is suspected of having crashed its runner. A request that crashes
+/// runners does so in its first steps, within some tenths of a second, so streams that have run longer are not
+/// suspected.
+const CRASH_SUSPICION_WINDOW: Duration = Duration::from_secs(1);
+
+/// Why a response is aborted. The connection to the client is closed without the end of the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum RelayError {
-    /// The runner broke off, and no other one could go on.
-    #[error("the runner broke off")]
+    /// The runner aborted the stream, and no other runner could continue it.
+    #[error("the runner aborted the stream")]
     Broken,
-    /// The time of the request is up.
-    #[error("the time of the request is up")]
+    /// The request's deadline has passed.
+    #[error("the deadline of the request has passed")]
     Expired,
 }
 
-/// What comes next from a runner.
-enum Piece {
+/// Outcome of reading from a runner's stream.
+enum ReadOutcome {
     Events(Bytes),
     End,
     Broken,
     Silent,
 }
 
-/// A stream on its way to the client.
+/// A stream that is relayed to the client.
 pub(crate) struct StreamRelay {
     pub shared: Arc<Shared>,
     pub request: Arc<ClientRequest>,
@@ -69,16 +70,17 @@
     splitter: EventSplitter,
     weights_version: Option<u64>,
     first: Option<Bytes>,
-    /// When the last events came, and the longest time between two.
+    /// When the last events arrived.
     last_events_at: Option<Instant>,
-    /// When the first events of the present runner came.
-    begun_at: Option<Instant>,
-    longest_gap: Duration,
+    /// When the first events of the current runner arrived.
+    started_at: Option<Instant>,
+    /// Maximum time between two arrivals of events.
+    max_gap: Duration,
     is_done: bool,
 }
 
 impl StreamRelay {
-    /// A relay for an exchange of which the head has come.
+    /// Creates a relay for an exchange whose response head has been received.
     pub(crate) fn new(
         shared: Arc<Shared>,
         request: Arc<ClientRequest>,
@@ -99,33 +101,36 @@
             splitter: EventSplitter::default(),
             first: None,
             last_events_at: None,
-            begun_at: None,
-            longest_gap: Duration::ZERO,
+            started_at: None,
+            max_gap: Duration::ZERO,
             is_done: false,
         }
     }
 
-    /// Waits for the first event, so that a runner which breaks before it costs nothing.
+    /// Waits for the first event, so that a runner that fails before it can be replaced without the client noticing.
     ///
     /// # Errors
-    /// Says how the attempt failed.
-    pub(crate) async fn first_event(&mut self, patience: Instant) -> Result<(), Failure> {
-        match self.next_piece(patience).await {
-            Piece::Events(bytes) => {
+    /// Returns how the attempt failed.
+    pub(crate) async fn wait_first_event(
+        &mut self,
+        attempt_deadline: Instant,
+    ) -> Result<(), Failure> {
+        match self.read_events(attempt_deadline).await {
+            ReadOutcome::Events(bytes) => {
                 self.first = Some(bytes);
                 Ok(())
             }
-            Piece::End => {
+            ReadOutcome::End => {
                 self.is_done = true;
                 Ok(())
             }
-            Piece::Broken => Err(Failure::Broken),
-            Piece::Silent => Err(Failure::Silent),
+            ReadOutcome::Broken => Err(Failure::Broken),
+            ReadOutcome::Silent => Err(Failure::Silent),
         }
     }
 
-    /// The body for the client.
-    pub(crate) fn into_body(self) -> AnswerBody {
+    /// Converts the relay into the response body for the client.
+    pub(crate) fn into_body(self) -> ResponseBody {
         let frames = stream::unfold(self, |mut relay| async move {
             let frame = relay.next_frame().await?;
             Some((frame, relay))
@@ -141,19 +146,19 @@
             if self.is_done {
                 return None;
             }
-            let silence = self.allowed_silence();
-            match self.next_piece(silence).await {
-                Piece::Events(bytes) => return Some(Ok(Frame::data(bytes))),
-                Piece::End => {
+            let stall_deadline = self.stall_deadline();
+            match self.read_events(stall_deadline).await {
+                ReadOutcome::Events(bytes) => return Some(Ok(Frame::data(bytes))),
+                ReadOutcome::End => {
                     self.is_done = true;
                     return None;
                 }
-                Piece::Broken => {
+                ReadOutcome::Broken => {
                     if let Err(error) = self.resume(Failure::Broken).await {
                         return Some(Err(error));
                     }
                 }
-                Piece::Silent => {
+                ReadOutcome::Silent => {
                     if let Err(error) = self.resume(Failure::Silent).await {
                         return Some(Err(error));
                     }
@@ -162,20 +167,23 @@
         }
     }
 
-    /// When a silent runner is given up.
-    fn allowed_silence(&self) -> Instant {
+    /// The time at which a silent runner is considered stalled.
+    fn stall_deadline(&self) -> Instant {
         if !self.may_resume() || self.choose_next().is_err() {
             return self.request.deadline;
         }
-        let silence = self.route.stream_silence_timeout().mul_f64(SILENCE_SHARE);
-        (Instant::now() + silence).min(self.request.deadline)
+        let timeout = self
+            .route
+            .stream_silence_timeout()
+            .mul_f64(STALL_TIMEOUT_SHARE);
+        (Instant::now() + timeout).min(self.request.deadline)
     }
 
-    /// The runner at which the stream would be continued.
+    /// Selects the runner at which the stream would be continued.
     fn choose_next(&self) -> Result<Runner, NoRunner> {
-        let present = self.exchange.iter().map(|exchange| &exchange.runner.id);
-        let tried: Vec<RunnerId> = self.tried.iter().chain(present).cloned().collect();
-        let wanted = SelectionCriteria {
+        let current = self.exchange.iter().map(|exchange| &exchange.runner.id);
+        let tried: Vec<RunnerId> = self.tried.iter().chain(current).cloned().collect();
+        let criteria = SelectionCriteria {
             service: &self.service,
             unit: self.request.unit.as_ref(),
             affinity: Some(self.request.profile.affinity()),
@@ -183,7 +191,7 @@
             tried: &tried,
             permit_waits: &[],
         };
-        self.shared.choose(&wanted)
+        self.shared.choose(&criteria)
     }
 
     fn is_quarantined(&self) -> bool {
@@ -196,42 +204,42 @@
         next.may_retry(self.route.kind, self.route.max_attempts)
     }
 
-    async fn next_piece(&mut self, until: Instant) -> Piece {
+    async fn read_events(&mut self, until: Instant) -> ReadOutcome {
         loop {
             let Some(exchange) = &mut self.exchange else {
-                return Piece::Broken;
+                return ReadOutcome::Broken;
             };
             let frame = match timeout_at(until, exchange.body.frame()).await {
                 Ok(Some(Ok(frame))) => frame,
-                Ok(Some(Err(_))) => return Piece::Broken,
+                Ok(Some(Err(_))) => return ReadOutcome::Broken,
                 Ok(None) => return self.end(),
-                Err(_) => return Piece::Silent,
+                Err(_) => return ReadOutcome::Silent,
             };
             let Ok(data) = frame.into_data() else {
                 continue;
             };
             let events = self.splitter.push(&data);
             if self.splitter.is_oversized() {
-                return Piece::Broken;
+                return ReadOutcome::Broken;
             }
             if !events.is_empty() {
-                self.note_events();
-                return Piece::Events(Bytes::from(events));
+                self.record_events();
+                return ReadOutcome::Events(Bytes::from(events));
             }
         }
     }
 
-    fn note_events(&mut self) {
+    fn record_events(&mut self) {
         let now = Instant::now();
-        self.begun_at.get_or_insert(now);
+        self.started_at.get_or_insert(now);
         if let Some(last) = self.last_events_at.replace(now) {
-            self.longest_gap = self.longest_gap.max(now - last);
+            self.max_gap = self.max_gap.max(now - last);
         }
     }
 
-    fn end(&mut self) -> Piece {
+    fn end(&mut self) -> ReadOutcome {
         if self.splitter.has_partial() {
-            return Piece::Broken;
+            return ReadOutcome::Broken;
         }
         if let Some(exchange) = self.exchange.take() {
             self.log_gap(&exchange.runner.id);
@@ -242,53 +250,53 @@
                 self.shared.pool.put(connection);
             }
         }
-        Piece::End
+        ReadOutcome::End
     }
 
-    /// Goes on at another runner. The run at a runner that is only silent is not ended before another one has had
-    /// its chance to reject the request: then the silent one is waited for again.
+    /// Continues the stream at another runner. A run at a runner that is only silent is not cancelled until the other
+    /// runner has had time to reject the request; if it does, the relay waits for the silent runner again.
     async fn resume(&mut self, failure: Failure) -> Result<(), RelayError> {
-        let present = self.exchange.take();
-        if let Some(exchange) = &present {
+        let current = self.exchange.take();
+        if let Some(exchange) = &current {
             self.shared
                 .observe(&exchange.runner.id, Observation::Failure);
             self.tried.push(exchange.runner.id.clone());
             self.log_break(exchange, failure);
         }
         self.last_events_at = None;
-        let has_just_begun = self
-            .begun_at
+        let is_crash_suspect = self
+            .started_at
             .take()
-            .is_none_or(|begun_at| begun_at.elapsed() < JUST_BEGUN);
+            .is_none_or(|started_at| started_at.elapsed() < CRASH_SUSPICION_WINDOW);
         if failure == Failure::Silent
-            && let Some(exchange) = present
+            && let Some(exchange) = current
         {
-            return self.leave_silent(exchange).await;
+            return self.replace_stalled(exchange).await;
         }
         self.attempts.record_failure(failure);
-        if has_just_begun && let Some(exchange) = &present {
+        if is_crash_suspect && let Some(exchange) = &current {
             note_break(&self.shared, &self.request, &exchange.runner).await;
         }
-        drop(present);
-        self.go_on().await
+        drop(current);
+        self.fail_over().await
     }
 
-    /// Goes on at another runner, until one takes the stream.
-    async fn go_on(&mut self) -> Result<(), RelayError> {
+    /// Tries other runners until one continues the stream.
+    async fn fail_over(&mut self) -> Result<(), RelayError> {
         self.splitter.drop_partial();
         loop {
             if Instant::now() >= self.request.deadline {
-                return Err(self.given_up(RelayError::Expired, "time is up"));
+                return Err(self.abort(RelayError::Expired, "the deadline has passed"));
             }
             let max_attempts = self.route.max_attempts;
             if !self.attempts.may_retry(self.route.kind, max_attempts) {
-                return Err(self.given_up(RelayError::Broken, "it may not be sent again"));
+                return Err(self.abort(RelayError::Broken, "the request may not be retried"));
             }
             if self.is_quarantined() {
-                return Err(self.given_up(RelayError::Broken, "it is in quarantine"));
+                return Err(self.abort(RelayError::Broken, "the request is quarantined"));
             }
             if !self.shared.try_repeat(&self.service) {
-                return Err(self.given_up(RelayError::Broken, "the retry budget is spent"));
+                return Err(self.abort(RelayError::Broken, "the retry budget is spent"));
             }
             if self.try_continue().await? {
                 return Ok(());
@@ -296,17 +304,17 @@
         }
     }
 
-    /// Leaves a silent runner for another one, unless that one rejects the stream at once.
-    async fn leave_silent(&mut self, silent: Exchange) -> Result<(), RelayError> {
+    /// Replaces a stalled runner by another one, unless that one rejects the stream within `REJECTION_TIMEOUT`.
+    async fn replace_stalled(&mut self, stalled: Exchange) -> Result<(), RelayError> {
         if Instant::now() >= self.request.deadline {
-            return Err(self.given_up(RelayError::Expired, "time is up"));
+            return Err(self.abort(RelayError::Expired, "the deadline has passed"));
         }
         let Ok(next) = self.choose_next() else {
-            self.wait_again(silent);
+            self.resume_waiting(stalled);
             return Ok(());
         };
         if self.is_quarantined() || !self.shared.try_repeat(&self.service) {
-            self.wait_again(silent);
+            self.resume_waiting(stalled);
             return Ok(());
         }
         let last_event = self.last_event();
@@ -314,52 +322,60 @@
             last_event: last_event.as_deref(),
             weights_version: self.weights_version,
         };
-        let patience = self.continuation_patience();
+        let attempt_deadline = self.continuation_deadline();
         let (shared, request) = (self.shared.clone(), self.request.clone());
         let Ok(admission) = admit_until(&shared, &request, &next, Instant::now()).await else {
-            self.wait_again(silent);
+            self.resume_waiting(stalled);
             return Ok(());
         };
-        let attempt = exchange(&shared, &request, &next, &admission, continuation, patience);
+        let attempt = exchange(
+            &shared,
+            &request,
+            &next,
+            &admission,
+            continuation,
+            attempt_deadline,
+        );
         tokio::pin!(attempt);
-        let early = timeout(REJECTION_WAIT, &mut attempt).await;
+        let early = timeout(REJECTION_TIMEOUT, &mut attempt).await;
         if let Ok(Err(failed)) = &early
             && !failed.failure.may_have_run()
         {
-            self.note_failed(&next.id, *failed);
-            self.wait_again(silent);
+            self.record_failed_attempt(&next.id, *failed);
+            self.resume_waiting(stalled);
             return Ok(());
         }
-        drop(silent);
+        drop(stalled);
         self.attempts.record_failure(Failure::Silent);
         self.splitter.drop_partial();
-        let attempted = match early {
-            Ok(attempted) => attempted,
+        let result = match early {
+            Ok(result) => result,
             Err(_) => attempt.await,
         };
-        if self.take_continuation(&next, attempted, continuation.last_event) {
+        if self.accept_continuation(&next, result, continuation.last_event) {
             return Ok(());
         }
-        self.go_on().await
+        self.fail_over().await
     }
 
-    /// Waits again for a silent runner that nobody takes the stream from.
-    fn wait_again(&mut self, silent: Exchange) {
-        self.tried.retain(|tried| *tried != silent.runner.id);
-        self.exchange = Some(silent);
+    /// Resumes waiting for a stalled runner because no other runner takes over its stream.
+    fn resume_waiting(&mut self, stalled: Exchange) {
+        self.tried.retain(|tried| *tried != stalled.runner.id);
+        self.exchange = Some(stalled);
     }
 
-    /// The last event that the client has, from this answer or from one before it.
+    /// The ID of the last event that the client has received, in this response or an earlier one.
     fn last_event(&self) -> Option<String> {
-        let before = self.request.profile.last_event.as_deref();
-        self.splitter.last_id().or(before).map(str::to_owned)
+        let earlier = self.request.profile.last_event.as_deref();
+        self.splitter.last_id().or(earlier).map(str::to_owned)
     }
 
-    fn continuation_patience(&self) -> Instant {
-        (Instant::now() + self.route.target.max(LEAST_PATIENCE)).min(self.request.deadline)
+    fn continuation_deadline(&self) -> Instant {
+        (Instant::now() + self.route.target.max(MIN_CONTINUATION_TIMEOUT))
+            .min(self.request.deadline)
     }
 
-    fn note_failed(&mut self, runner: &RunnerId, failed: FailedAttempt) {
+    fn record_failed_attempt(&mut self, runner: &RunnerId, failed: FailedAttempt) {
         if let Some(observation) = failed.observation {
             self.shared.observe(runner, observation);
         }
@@ -367,14 +383,14 @@
         self.tried.push(runner.clone());
     }
 
-    /// Takes in what a runner has answered that was to go on. Tells whether it goes on.
-    fn take_continuation(
+    /// Records the response of a runner that was to continue the stream. Returns whether it continues it.
+    fn accept_continuation(
         &mut self,
         runner: &Runner,
-        attempted: Result<Exchange, FailedAttempt>,
+        result: Result<Exchange, FailedAttempt>,
         last_event: Option<&str>,
     ) -> bool {
-        match attempted {
+        match result {
             Ok(exchange) if exchange.head.status.is_success() => {
                 let fields: &[(&str, &dyn std::fmt::Display)] = &[
                     ("request", &self.request.profile.id),
@@ -394,19 +410,19 @@
                 false
             }
             Err(failed) => {
-                self.note_failed(&runner.id, failed);
+                self.record_failed_attempt(&runner.id, failed);
                 false
             }
         }
     }
 
-    /// Sends the request to another runner. Tells whether that one goes on.
+    /// Sends the request to another runner. Returns whether that one continues the stream.
     async fn try_continue(&mut self) -> Result<bool, RelayError> {
         let runner = match self.choose_next() {
             Ok(runner) => runner,
             Err(reason) => {
                 let reason = format!("{reason:?}");
-                return Err(self.given_up(RelayError::Broken, &reason));
+                return Err(self.abort(RelayError::Broken, &reason));
             }
         };
         let last_event = self.last_event();
@@ -414,31 +430,39 @@
             last_event: last_event.as_deref(),
             weights_version: self.weights_version,
         };
-        let patience = self.continuation_patience();
-        let admission = admit_until(&self.shared, &self.request, &runner, patience).await;
-        let attempted = match &admission {
+        let attempt_deadline = self.continuation_deadline();
+        let admission = admit_until(&self.shared, &self.request, &runner, attempt_deadline).await;
+        let result = match &admission {
             Ok(admission) => {
-                self.send_on(&runner, admission, continuation, patience)
+                self.send_continuation(&runner, admission, continuation, attempt_deadline)
                     .await
             }
             Err(_) => Err(FailedAttempt::not_permitted()),
         };
-        Ok(self.take_continuation(&runner, attempted, continuation.last_event))
+        Ok(self.accept_continuation(&runner, result, continuation.last_event))
     }
 
-    async fn send_on(
+    async fn send_continuation(
         &mut self,
         runner: &Runner,
         admission: &Admission,
         continuation: Continuation<'_>,
-        patience: Instant,
+        attempt_deadline: Instant,
     ) -> Result<Exchange, FailedAttempt> {
         let (shared, request) = (&self.shared, &self.request);
-        exchange(shared, request, runner, admission, continuation, patience).await
+        exchange(
+            shared,
+            request,
+            runner,
+            admission,
+            continuation,
+            attempt_deadline,
+        )
+        .await
     }
 
-    /// Logs why the stream ends without its end.
-    fn given_up(&self, error: RelayError, reason: &str) -> RelayError {
+    /// Logs why the stream is aborted, and returns the error.
+    fn abort(&self, error: RelayError, reason: &str) -> RelayError {
         let fields: &[(&str, &dyn std::fmt::Display)] = &[
             ("request", &self.request.profile.id),
             ("reason", &reason),
@@ -451,16 +475,16 @@
         error
     }
 
-    /// Logs a pause that makes the answer late, though nothing failed.
+    /// Logs a gap between events that exceeds the route's limit although no attempt failed.
     fn log_gap(&self, runner: &RunnerId) {
-        if self.longest_gap <= self.route.event_gap {
+        if self.max_gap <= self.route.event_gap {
             return;
         }
         let fields: &[(&str, &dyn std::fmt::Display)] = &[
             ("request", &self.request.profile.id),
             ("route", &self.route.name),
             ("runner", runner),
-            ("longest_gap_ms", &self.longest_gap.as_millis()),
+            ("longest_gap_ms", &self.max_gap.as_millis()),
         ];
         metrics::counter!(STREAMS_LATE.name).increment(1);
         self.shared
@@ -486,10 +510,10 @@
     }
 }
 
-/// Reads a body whole, up to a length.
+/// Reads a complete body of limited size.
 ///
 /// # Errors
-/// Says how the attempt failed.
+/// Returns how the attempt failed.
 pub(crate) async fn collect(
     body: Incoming,
     limit: usize,
--- a/crates/ingress/src/answers.rs
+++ b/crates/ingress/src/responses.rs
@@ -1,4 +1,4 @@
-//! Answers that the ingress makes itself, and the body type of all answers.
+//! Responses that the ingress generates itself, and the body type of all responses.
 
 use std::time::Duration;
 
@@ -11,24 +11,24 @@
 
 use crate::relay::RelayError;
 
-/// Body of an answer.
-pub(crate) type AnswerBody = UnsyncBoxBody<Bytes, RelayError>;
+/// Body of a response to a client.
+pub(crate) type ResponseBody = UnsyncBoxBody<Bytes, RelayError>;
 
-/// A body that is whole.
-pub(crate) fn whole(bytes: Bytes) -> AnswerBody {
+/// Wraps a complete body.
+pub(crate) fn full_body(bytes: Bytes) -> ResponseBody {
     Full::new(bytes)
         .map_err(|never| match never {})
         .boxed_unsync()
 }
 
-/// The answer that tells a refusal, and when to come back where that helps.
-pub(crate) fn refusal(refusal: &Refusal) -> Response<AnswerBody> {
+/// Builds the response for a refusal, with `Retry-After` if the refusal has one.
+pub(crate) fn refusal(refusal: &Refusal) -> Response<ResponseBody> {
     let text = format!(
         "{{\"code\":{},\"error\":\"{}\"}}\n",
         refusal.code.number(),
         refusal.code.text()
     );
-    let mut response = Response::new(whole(Bytes::from(text)));
+    let mut response = Response::new(full_body(Bytes::from(text)));
     let status = StatusCode::from_u16(refusal.code.http_status());
     *response.status_mut() = status.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let headers = response.headers_mut();
@@ -39,7 +39,7 @@
     response
 }
 
-/// The value of `Retry-After`, in seconds with a fraction.
+/// Formats the value of `Retry-After` in seconds with two decimals.
 fn retry_after(after: Duration) -> Option<HeaderValue> {
     HeaderValue::from_str(&format!("{:.2}", after.as_secs_f64())).ok()
 }
--- a/crates/ingress/src/server.rs
+++ b/crates/ingress/src/server.rs
@@ -1,7 +1,7 @@
-//! The servers of the daemon: for clients, for readiness, and for counters.
+//! HTTP servers of the daemon: client requests, readiness, and metrics.
 //!
-//! hyper's connection interface is used instead of salvo, because a client that leaves must end the
-//! request at the runner at once, and because a stop must tell idle connections from busy ones.
+//! hyper's connection API is used instead of salvo, because a client disconnect must cancel the request at the runner
+//! immediately, and because a shutdown must distinguish idle connections from busy ones.
 
 use std::convert::Infallible;
 use std::fmt::Display;
@@ -29,24 +29,24 @@
 use crate::handler::handle;
 use crate::state::Shared;
 
-/// Pause after a connection could not be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// Time after which unacknowledged bytes end a client's connection.
-const USER_TIMEOUT: Duration = Duration::from_secs(10);
-/// Least buffer of a connection, as hyper demands it.
-const LEAST_BUFFER_BYTES: usize = 8 * 1024;
+/// Delay before accepting again after `accept` has failed.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// `TCP_USER_TIMEOUT` of client connections: the time after which unacknowledged data closes them.
+const TCP_USER_TIMEOUT: Duration = Duration::from_secs(10);
+/// Smallest connection buffer that hyper accepts.
+const MIN_BUFFER_BYTES: usize = 8 * 1024;
 
-/// Opens a listener.
+/// Binds a listener.
 ///
 /// # Errors
-/// Fails if the address cannot be listened at.
+/// Fails if the address cannot be bound.
 pub(crate) async fn listen(address: SocketAddr) -> anyhow::Result<TcpListener> {
     TcpListener::bind(address)
         .await
-        .with_context(|| format!("cannot listen at {address}"))
+        .with_context(|| format!("cannot bind a listener to {address}"))
 }
 
-/// Accepts connections and runs a task for each.
+/// Accepts connections and spawns a task for each.
 async fn accept<Task, Serve>(listener: &TcpListener, tracker: &TaskTracker, serve: Serve)
 where
     Task: Future<Output = ()> + Send + 'static,
@@ -55,79 +55,78 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                prepare(&stream);
+                configure_socket(&stream);
                 tracker.spawn(serve(stream));
             }
-            Err(_) => sleep(ACCEPT_PAUSE).await,
+            Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
 
-fn prepare(stream: &TcpStream) {
+fn configure_socket(stream: &TcpStream) {
     let _ = stream.set_nodelay(true);
-    let _ = SockRef::from(stream).set_tcp_user_timeout(Some(USER_TIMEOUT));
+    let _ = SockRef::from(stream).set_tcp_user_timeout(Some(TCP_USER_TIMEOUT));
 }
 
-/// Takes the connections that the system has accepted for a listener by now.
+/// Accepts the connections that are pending in the listener's backlog.
 ///
 /// # Errors
-/// Fails if the listener can't tell.
-fn accept_waiting(listener: &std::net::TcpListener) -> io::Result<Vec<TcpStream>> {
-    let mut waiting = Vec::new();
+/// Fails if `accept` fails for a reason other than an aborted connection.
+fn accept_pending(listener: &std::net::TcpListener) -> io::Result<Vec<TcpStream>> {
+    let mut pending = Vec::new();
     loop {
         match listener.accept() {
             Ok((stream, _)) => {
                 stream.set_nonblocking(true)?;
-                waiting.push(TcpStream::from_std(stream)?);
+                pending.push(TcpStream::from_std(stream)?);
             }
-            Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(waiting),
-            // Its client has given it up.
+            Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(pending),
+            // The client has aborted the pending connection.
             Err(error) if error.kind() == ErrorKind::ConnectionAborted => {}
             Err(error) => return Err(error),
         }
     }
 }
 
-/// Closes a listener. Returns the connections that the system has accepted for it by then; whoever connects later finds that
-/// nobody listens.
+/// Closes a listener and returns the connections pending in its backlog. Later connection attempts are refused.
 ///
 /// # Errors
-/// Fails if the listener can't tell; it is closed all the same.
-fn close(listener: TcpListener) -> io::Result<Vec<TcpStream>> {
-    // The runtime learns of a connection later than the system, which is asked here.
+/// Fails if the pending connections cannot be accepted; the listener is closed in any case.
+fn close_listener(listener: TcpListener) -> io::Result<Vec<TcpStream>> {
+    // The runtime's readiness state lags behind the kernel's backlog, so the listener itself is polled.
     let listener = listener.into_std()?;
-    accept_waiting(&listener)
+    accept_pending(&listener)
 }
 
-/// When a daemon that stops takes which step towards its clients.
+/// Shutdown steps of the client server.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct ClientsEnd {
-    /// Idle connections are closed, and new ones get one answer.
+pub(crate) struct ClientShutdown {
+    /// Idle connections are closed, and new ones get a single response.
     pub closing: CancellationToken,
-    /// Nobody can connect any more.
+    /// The listener is closed, so that new connections are refused.
     pub closed: CancellationToken,
 }
 
-/// Serves clients until nobody can connect any more. A connection that was made before then is served still.
+/// Serves clients until `closed` is cancelled. Connections established before the listener is closed are still served.
 pub(crate) async fn serve_clients(
     shared: Arc<Shared>,
     listener: TcpListener,
     tracker: TaskTracker,
-    end: ClientsEnd,
+    shutdown: ClientShutdown,
 ) {
-    let serve = |stream| client_connection(shared.clone(), stream, end.closing.clone());
+    let serve = |stream| client_connection(shared.clone(), stream, shutdown.closing.clone());
     tokio::select! {
         () = accept(&listener, &tracker, serve) => {}
-        () = end.closed.cancelled() => {}
+        () = shutdown.closed.cancelled() => {}
     }
-    let waiting = close(listener).unwrap_or_else(|error| {
+    let pending = close_listener(listener).unwrap_or_else(|error| {
         let fields: &[(&str, &dyn Display)] = &[("error", &format!("{:?}", error.to_string()))];
         let now = shared.now();
         shared.log.write(now, "last-connections-not-taken", fields);
         Vec::new()
     });
-    for stream in waiting {
-        prepare(&stream);
+    for stream in pending {
+        configure_socket(&stream);
         tracker.spawn(serve(stream));
     }
 }
@@ -138,9 +137,9 @@
         .map(|configuration| configuration.limits)
         .unwrap_or_default();
     let is_used = Arc::new(AtomicBool::new(false));
-    let notes_use = is_used.clone();
+    let used_flag = is_used.clone();
     let service = service_fn(move |request: Request<Incoming>| {
-        notes_use.store(true, Ordering::Relaxed);
+        used_flag.store(true, Ordering::Relaxed);
         let shared = shared.clone();
         async move { Ok::<_, Infallible>(handle(shared, request).await) }
     });
@@ -148,22 +147,22 @@
     builder
         .timer(TokioTimer::new())
         .header_read_timeout(limits.idle_time)
-        .max_buf_size((limits.header_bytes + 1_024).max(LEAST_BUFFER_BYTES));
+        .max_buf_size((limits.header_bytes + 1_024).max(MIN_BUFFER_BYTES));
     let connection = builder.serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
     tokio::select! {
         _ = connection.as_mut() => return,
         () = closing.cancelled() => {}
     }
-    // The first request of a connection may be on its way. It is read and refused, so that its client knows that it did not
-    // run, and its answer closes the connection.
+    // The first request of a connection may still be in transit. It is read and refused, so that its client knows that
+    // it did not run, and the response closes the connection.
     if is_used.load(Ordering::Relaxed) {
         connection.as_mut().graceful_shutdown();
     }
     let _ = connection.await;
 }
 
-/// Answers whether the daemon is ready.
+/// Serves the readiness endpoint.
 pub(crate) async fn serve_readiness(
     shared: Arc<Shared>,
     listener: TcpListener,
@@ -183,7 +182,7 @@
     serve_pages(listener, tracker, Arc::new(answer)).await;
 }
 
-/// Answers with the counters.
+/// Serves the metrics endpoint.
 pub(crate) async fn serve_metrics(
     listener: TcpListener,
     tracker: TaskTracker,
--- a/crates/ingress/src/state.rs
+++ b/crates/ingress/src/state.rs
@@ -35,8 +35,8 @@
 
 use crate::counters::RUNNERS_EJECTED;
 use crate::decisions::DecisionLog;
+use crate::interfaces::{ClusterStore, RunnerControl, Surface};
 use crate::keeper_client::KeeperClient;
-use crate::outside::{ClusterStore, RunnerControl, Surface};
 use crate::pool::Pool;
 use crate::settings::IngressSettings;
 use crate::store_word::StoreWord;
--- a/crates/ingress/src/unreadable.rs
+++ b/crates/ingress/src/unreadable.rs
@@ -5,7 +5,7 @@
 use std::sync::Mutex;
 
 use crate::counters::ENTRIES_UNREADABLE;
-use crate::outside::UnreadableEntry;
+use crate::interfaces::UnreadableEntry;
 use crate::state::Shared;
 
 /// Revisions of objects that are remembered as logged, at most. Once there are more, all are forgotten and may be logged again.
--- a/crates/ingress/src/watches/configuration.rs
+++ b/crates/ingress/src/watches/configuration.rs
@@ -13,7 +13,7 @@
     Backoff, changes_mode, first_freshness, goes_on, log_history_gone, starts_until, wait_for_word,
     watch_wait,
 };
-use crate::outside::{Freshness, Listing, StoreError};
+use crate::interfaces::{Freshness, Listing, StoreError};
 use crate::state::Shared;
 use crate::store_word::StoreWord;
 use crate::unreadable::ObjectKind;
@@ -145,7 +145,7 @@
     fn may_be_old(listing: Listing<Configuration>) -> Self {
         Self {
             listing,
-            freshness: Freshness::MayBeOld,
+            freshness: Freshness::MayBeStale,
         }
     }
 }
@@ -205,7 +205,7 @@
         return Ok(Answer { listing, freshness });
     }
     for _ in 0..OLD_ANSWERS {
-        let listing = shared.store.configuration(Freshness::MayBeOld).await?;
+        let listing = shared.store.configuration(Freshness::MayBeStale).await?;
         let versions = listing.items.iter().map(|item| item.version);
         if versions.max() >= Some(word.configuration_version) {
             return Ok(Answer::may_be_old(listing));
--- a/crates/ingress/src/watches/evacuations.rs
+++ b/crates/ingress/src/watches/evacuations.rs
@@ -9,7 +9,7 @@
 use tokio::time::sleep;
 
 use super::{Backoff, changes_mode, goes_on, log_history_gone, wait_for_word};
-use crate::outside::{Listing, StoreError};
+use crate::interfaces::{Listing, StoreError};
 use crate::spells::suspect_returned;
 use crate::state::Shared;
 use crate::unreadable::ObjectKind;
@@ -55,7 +55,7 @@
         };
         restarts.mark_unchanged();
         let changed = tokio::select! {
-            changed = shared.store.evacuations_changed(after, wait) => changed,
+            changed = shared.store.watch_evacuation_changes(after, wait) => changed,
             _ = restarts.changed() => {
                 revision = None;
                 continue;
--- a/crates/ingress/src/watches/mod.rs
+++ b/crates/ingress/src/watches/mod.rs
@@ -18,7 +18,7 @@
 use tokio::time::{sleep, sleep_until};
 
 use crate::counters::STORE_CALLS_FAILED;
-use crate::outside::{Freshness, StoreError};
+use crate::interfaces::{Freshness, StoreError};
 use crate::state::Shared;
 use crate::store_word::StoreWord;
 
@@ -142,7 +142,7 @@
 fn first_freshness(shared: &Shared, word: StoreWord, has_read: bool) -> Freshness {
     let is_first = !has_read && starts_until(shared, word, true).is_some();
     if is_first {
-        Freshness::MayBeOld
+        Freshness::MayBeStale
     } else {
         Freshness::Latest
     }
--- a/crates/ingress/src/watches/runners.rs
+++ b/crates/ingress/src/watches/runners.rs
@@ -13,8 +13,8 @@
     Backoff, changes_mode, first_freshness, goes_on, log_history_gone, starts_until, wait_for_word,
     watch_wait,
 };
-use crate::outside::{Listing, RunnerChange, StoreError};
-use crate::pool::Lives;
+use crate::interfaces::{Listing, RunnerChange, StoreError};
+use crate::pool::RunnersByAddress;
 use crate::spells::take_in_spells;
 use crate::state::Shared;
 use crate::store_word::StoreWord;
@@ -305,7 +305,7 @@
 
 /// Wakes those who wait, and closes connections to lives of runners that are over.
 fn after_change(shared: &Shared) {
-    let mut lives = Lives::new();
+    let mut lives = RunnersByAddress::new();
     for runner in shared.tables().runners.iter() {
         let at_address = lives.entry(runner.address).or_default();
         at_address.insert(runner.id.clone());
--- a/crates/ingress/tests/ingress/access.rs
+++ b/crates/ingress/tests/ingress/access.rs
@@ -11,7 +11,8 @@
 use crate::runner::ScriptedRunner;
 use crate::store::MemoryStore;
 use crate::support::{
-    ObedientControl, SilentControl, TestIngress, configuration_with, runner, settings, tenant,
+    ImmediateLoadControl, SilentControl, TestIngress, configuration_with_tenants, runner, settings,
+    tenant,
 };
 
 /// For how long the daemons of these tests rely on keys without a word.
@@ -26,7 +27,8 @@
         known: Some(TRUST),
         unknown: Some(TRUST),
     };
-    let test = TestIngress::start_with(settings, store, Arc::new(ObedientControl::default())).await;
+    let test =
+        TestIngress::start_with(settings, store, Arc::new(ImmediateLoadControl::default())).await;
     test.until_ready().await;
     test
 }
@@ -51,7 +53,7 @@
 async fn a_key_admits_as_its_tenant_and_goes_no_further() {
     let server = ScriptedRunner::start(Vec::new()).await;
     let tenants = vec![tenant("a", &["ka"], None), tenant("b", &["kb"], None)];
-    let test = daemon("d", store(&server, configuration_with(1, tenants))).await;
+    let test = daemon("d", store(&server, configuration_with_tenants(1, tenants))).await;
     let request = test.request("/safe/", "id-1");
     let request = request.header("x-key", "kb").header("x-tenant", "a");
     assert_eq!(request.send().await.unwrap().status(), 200);
@@ -71,7 +73,7 @@
 async fn without_a_key_that_holds_a_request_is_denied_unless_its_route_is_public() {
     let server = ScriptedRunner::start(Vec::new()).await;
     let tenants = vec![tenant("a", &["ka"], None)];
-    let test = daemon("d", store(&server, configuration_with(1, tenants))).await;
+    let test = daemon("d", store(&server, configuration_with_tenants(1, tenants))).await;
     let denied = test.request("/safe/", "id-1").header("x-key", "other");
     let denied = denied.send().await.unwrap();
     assert_eq!(denied.status(), 401);
@@ -87,7 +89,11 @@
 #[tokio::test]
 async fn without_tenants_no_key_is_asked_for() {
     let server = ScriptedRunner::start(Vec::new()).await;
-    let test = daemon("d", store(&server, configuration_with(1, Vec::new()))).await;
+    let test = daemon(
+        "d",
+        store(&server, configuration_with_tenants(1, Vec::new())),
+    )
+    .await;
     assert_eq!(status(&test, "/safe/", "id-1", None).await, 200);
     assert_eq!(status(&test, "/safe/", "id-2", Some("k")).await, 200);
     assert_eq!(server.received()[1].header("x-key"), Some("k"));
@@ -98,7 +104,7 @@
 async fn a_daemon_that_is_cut_off_serves_no_key_after_the_bound() {
     let server = ScriptedRunner::start(Vec::new()).await;
     let tenants = vec![tenant("a", &["ka"], None)];
-    let store = store(&server, configuration_with(1, tenants));
+    let store = store(&server, configuration_with_tenants(1, tenants));
     let test = daemon("d", store).await;
     test.store.is_silent.store(true, Ordering::Relaxed);
     assert_eq!(status(&test, "/safe/", "id-1", Some("ka")).await, 200);
@@ -126,7 +132,7 @@
 async fn a_daemon_that_the_store_turns_away_gets_the_configuration_from_a_peer() {
     let server = ScriptedRunner::start(Vec::new()).await;
     let both = vec![tenant("a", &["ka"], None), tenant("b", &["kb"], None)];
-    let store = store(&server, configuration_with(1, both));
+    let store = store(&server, configuration_with_tenants(1, both));
     let first = daemon("a", store.share()).await;
     sleep(COORDINATED).await;
     let second = daemon("b", store.share()).await;
@@ -134,7 +140,7 @@
 
     second.store.is_silent.store(true, Ordering::Relaxed);
     let less = vec![tenant("a", &["ka2"], None)];
-    store.set_configuration(configuration_with(2, less));
+    store.set_configuration(configuration_with_tenants(2, less));
     sleep(Duration::from_millis(1_500)).await;
     assert_eq!(status(&second, "/safe/", "id-1", Some("kb")).await, 401);
     assert_eq!(status(&second, "/safe/", "id-2", Some("ka2")).await, 200);
@@ -152,7 +158,7 @@
 async fn a_daemon_that_starts_while_the_store_turns_it_away_is_told_by_the_next_coordinator() {
     let server = ScriptedRunner::start(Vec::new()).await;
     let tenants = vec![tenant("a", &["ka"], None)];
-    let store = store(&server, configuration_with(1, tenants));
+    let store = store(&server, configuration_with_tenants(1, tenants));
     let mut first = daemon("a", store.share()).await;
     sleep(COORDINATED).await;
     let mut second_settings = settings("b");
@@ -184,7 +190,7 @@
         tenant("a", &["ka"], Some(10.0)),
         tenant("b", &["kb"], Some(10.0)),
     ];
-    let store = store(&server, configuration_with(1, tenants));
+    let store = store(&server, configuration_with_tenants(1, tenants));
     let first = daemon("a", store.share()).await;
     sleep(COORDINATED).await;
     let second = daemon("b", store.share()).await;
--- a/crates/ingress/tests/ingress/cold_runners.rs
+++ b/crates/ingress/tests/ingress/cold_runners.rs
@@ -13,7 +13,7 @@
 use crate::runner::ScriptedRunner;
 use crate::standstill::Standstill;
 use crate::store::MemoryStore;
-use crate::support::{ObedientControl, TestIngress, route, runner, service, settings};
+use crate::support::{ImmediateLoadControl, TestIngress, route, runner, service, settings};
 
 const RATE: f64 = 4.0;
 const SETTINGS: ColdRunnerSettings = ColdRunnerSettings {
@@ -49,7 +49,7 @@
     let store = MemoryStore::default();
     store.set_runners(vec![entry(server, 1, Duration::ZERO)]);
     store.set_configuration(configuration());
-    let control = Arc::new(ObedientControl::default());
+    let control = Arc::new(ImmediateLoadControl::default());
     let mut daemons = Vec::new();
     for name in ["a", "b"] {
         let mut own = settings(name);
--- a/crates/ingress/tests/ingress/coordination.rs
+++ b/crates/ingress/tests/ingress/coordination.rs
@@ -11,7 +11,7 @@
 use crate::runner::{Behaviour, ScriptedRunner};
 use crate::store::MemoryStore;
 use crate::support::{
-    OTHER_RARE_MODEL, ObedientControl, RARE_MODEL, TestIngress, configuration, route, runner,
+    ImmediateLoadControl, OTHER_RARE_MODEL, RARE_MODEL, TestIngress, configuration, route, runner,
     settings,
 };
 
@@ -33,8 +33,8 @@
     let store = MemoryStore::default();
     store.set_runners(vec![runner(0, server.address)]);
     store.set_configuration(configuration(1, Vec::new()));
-    let control = Arc::new(ObedientControl::default());
-    let test = TestIngress::start_before("d", store, control).await;
+    let control = Arc::new(ImmediateLoadControl::default());
+    let test = TestIngress::start_with_store("d", store, control).await;
     test.until_ready().await;
     sleep(Duration::from_millis(1_500)).await;
     assert_eq!(status(&test, "id-1").await, 200);
@@ -48,12 +48,12 @@
     let store = MemoryStore::default();
     store.set_runners(vec![runner(0, server.address)]);
     store.set_configuration(configuration(1, Vec::new()));
-    let control = Arc::new(ObedientControl::default());
-    let mut first = TestIngress::start_before("a", store.share(), control.clone()).await;
+    let control = Arc::new(ImmediateLoadControl::default());
+    let mut first = TestIngress::start_with_store("a", store.share(), control.clone()).await;
     first.until_ready().await;
     sleep(Duration::from_millis(1_000)).await;
-    let second = TestIngress::start_before("b", store.share(), control.clone()).await;
-    let third = TestIngress::start_before("c", store.share(), control.clone()).await;
+    let second = TestIngress::start_with_store("b", store.share(), control.clone()).await;
+    let third = TestIngress::start_with_store("c", store.share(), control.clone()).await;
     second.until_ready().await;
     third.until_ready().await;
     sleep(Duration::from_millis(2_500)).await;
@@ -70,10 +70,10 @@
 #[tokio::test]
 async fn a_daemon_without_a_configuration_does_not_spin() {
     let store = MemoryStore::default();
-    let control = Arc::new(ObedientControl::default());
-    let first = TestIngress::start_before("a", store.share(), control.clone()).await;
+    let control = Arc::new(ImmediateLoadControl::default());
+    let first = TestIngress::start_with_store("a", store.share(), control.clone()).await;
     sleep(Duration::from_millis(1_000)).await;
-    let second = TestIngress::start_before("b", store.share(), control).await;
+    let second = TestIngress::start_with_store("b", store.share(), control).await;
     sleep(Duration::from_millis(1_000)).await;
     let begun = Instant::now();
     let reads = second.store.reads.load(Ordering::Relaxed);
@@ -95,11 +95,11 @@
     let store = MemoryStore::default();
     store.set_runners(vec![runner(0, server.address)]);
     store.set_configuration(configuration(1, Vec::new()));
-    let control = Arc::new(ObedientControl::default());
-    let first = TestIngress::start_before("a", store.share(), control.clone()).await;
+    let control = Arc::new(ImmediateLoadControl::default());
+    let first = TestIngress::start_with_store("a", store.share(), control.clone()).await;
     first.until_ready().await;
     sleep(Duration::from_millis(1_000)).await;
-    let second = TestIngress::start_before("b", store.share(), control).await;
+    let second = TestIngress::start_with_store("b", store.share(), control).await;
     second.until_ready().await;
     sleep(Duration::from_millis(1_500)).await;
 
@@ -122,11 +122,11 @@
     let store = MemoryStore::default();
     store.set_runners(runners);
     store.set_configuration(configuration(1, Vec::new()));
-    let control = Arc::new(ObedientControl::default());
-    let first = TestIngress::start_before("a", store.share(), control.clone()).await;
+    let control = Arc::new(ImmediateLoadControl::default());
+    let first = TestIngress::start_with_store("a", store.share(), control.clone()).await;
     first.until_ready().await;
     sleep(Duration::from_millis(1_000)).await;
-    let second = TestIngress::start_before("b", store.share(), control).await;
+    let second = TestIngress::start_with_store("b", store.share(), control).await;
     second.until_ready().await;
     sleep(Duration::from_millis(1_500)).await;
     (store, first, second)
@@ -193,8 +193,8 @@
     // The second runner has the youngest holdings, and is gone before the third daemon comes.
     store.set_runners(vec![runner(0, stays.address)]);
     sleep(Duration::from_millis(1_200)).await;
-    let control = Arc::new(ObedientControl::default());
-    let third = TestIngress::start_before("c", store.share(), control).await;
+    let control = Arc::new(ImmediateLoadControl::default());
+    let third = TestIngress::start_with_store("c", store.share(), control).await;
     third.until_ready().await;
     sleep(Duration::from_millis(1_200)).await;
     assert_eq!(status(&third, "id-1").await, 200);
@@ -230,7 +230,7 @@
     let store = MemoryStore::default();
     store.set_runners(vec![runner(0, near.address), runner(1, far.address)]);
     store.set_configuration(configuration(1, Vec::new()));
-    let control = Arc::new(ObedientControl::default());
+    let control = Arc::new(ImmediateLoadControl::default());
     let mut daemons = Vec::new();
     for name in ["a", "b"] {
         let mut own = settings(name);
--- a/crates/ingress/tests/ingress/crashing_runner.rs
+++ b/crates/ingress/tests/ingress/crashing_runner.rs
@@ -1,4 +1,4 @@
-//! A runner that ends when it begins to run one certain request.
+//! A runner that crashes when it starts to run a request with a certain body.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,15 +11,15 @@
 
 use crate::runner::{read_request, reset};
 
-/// Body of the request under which runners end.
+/// Body of the request that crashes runners.
 pub const CRASHING_BODY: &str = "crash";
 
-/// The runner. It answers all other requests with 200 `done`.
+/// A runner that answers all other requests with 200 `done`.
 #[derive(Clone)]
 pub struct CrashingRunner {
     pub address: SocketAddr,
     arrivals: Arc<AtomicU32>,
-    ended: CancellationToken,
+    crashed: CancellationToken,
 }
 
 impl CrashingRunner {
@@ -28,37 +28,37 @@
         let runner = Self {
             address: listener.local_addr().unwrap(),
             arrivals: Arc::default(),
-            ended: CancellationToken::new(),
+            crashed: CancellationToken::new(),
         };
-        let serving = runner.clone();
+        let server = runner.clone();
         tokio::spawn(async move {
-            let ended = serving.ended.clone();
-            // The listener is dropped with this task: later connections are reset.
-            ended.run_until_cancelled(serving.accept(listener)).await;
+            let crashed = server.crashed.clone();
+            // The listener is dropped with this task, so later connections are refused.
+            crashed.run_until_cancelled(server.accept(listener)).await;
         });
         runner
     }
 
-    /// Whether the process has ended.
-    pub fn has_ended(&self) -> bool {
-        self.ended.is_cancelled()
+    /// Returns whether the runner has crashed.
+    pub fn has_crashed(&self) -> bool {
+        self.crashed.is_cancelled()
     }
 
-    /// How often the request under which it ends has reached it.
+    /// Number of times the crashing request has reached it.
     pub fn arrivals(&self) -> u32 {
         self.arrivals.load(Ordering::Relaxed)
     }
 
     async fn accept(&self, listener: TcpListener) {
         while let Ok((stream, _)) = listener.accept().await {
-            let serving = self.clone();
-            tokio::spawn(async move { serving.serve(stream).await });
+            let server = self.clone();
+            tokio::spawn(async move { server.serve(stream).await });
         }
     }
 
     async fn serve(&self, mut stream: TcpStream) {
-        let ended = self.ended.clone();
-        ended
+        let crashed = self.crashed.clone();
+        crashed
             .run_until_cancelled(self.answer_all(&mut stream))
             .await;
         reset(&stream);
@@ -73,9 +73,9 @@
                     "HTTP/1.1 200 OK\r\nx-id: {id}\r\nx-stamp: s\r\ntransfer-encoding: chunked\r\n\r\n"
                 );
                 let _ = stream.write_all(head.as_bytes()).await;
-                // A run begins some steps after its request has come.
+                // A run starts some steps after its request has arrived.
                 tokio::time::sleep(Duration::from_millis(20)).await;
-                self.ended.cancel();
+                self.crashed.cancel();
                 return;
             }
             let answer = format!(
--- a/crates/ingress/tests/ingress/earlier_coordinator.rs
+++ b/crates/ingress/tests/ingress/earlier_coordinator.rs
@@ -200,7 +200,7 @@
     store.set_configuration(configuration(1, Vec::new()));
     store.lacks_lists.store(true, Ordering::Relaxed);
     let coordinator = EarlierCoordinator::start(runner).await;
-    let daemon = TestIngress::start_before("d", store, Arc::new(SilentControl)).await;
+    let daemon = TestIngress::start_with_store("d", store, Arc::new(SilentControl)).await;
     let member = daemon.ingress.as_ref().unwrap().peer_address;
     let leading = tokio::spawn(coordinator.lead(member));
     daemon.until_ready().await;
@@ -220,7 +220,7 @@
     let store = MemoryStore::default();
     store.lacks_lists.store(true, Ordering::Relaxed);
     let coordinator = EarlierCoordinator::start(runner).await;
-    let daemon = TestIngress::start_before("d", store, Arc::new(SilentControl)).await;
+    let daemon = TestIngress::start_with_store("d", store, Arc::new(SilentControl)).await;
     let member = daemon.ingress.as_ref().unwrap().peer_address;
     let summaries = coordinator.count_summaries(member, TOLD_WITHIN).await;
     assert!(summaries > 3, "{summaries} in {TOLD_WITHIN:?}");
--- a/crates/ingress/tests/ingress/failures.rs
+++ b/crates/ingress/tests/ingress/failures.rs
@@ -1,4 +1,4 @@
-//! Runners and the store misbehave.
+//! Faults of runners and of the store.
 
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
@@ -30,7 +30,11 @@
         let test = TestIngress::start(&[&first, &second]).await;
         let response = test.request("/unsafe/", "id-1").send().await.unwrap();
         assert!(response.status().is_server_error());
-        assert_ne!(response.status(), 503, "a 503 says that it did not run");
+        assert_ne!(
+            response.status(),
+            503,
+            "a 503 states that the request did not run"
+        );
         assert_eq!(first.received().len() + second.received().len(), 1);
     }
 }
@@ -62,8 +66,8 @@
     }
 }
 
-/// Seen on a played day: the only runner with the model was full and silent for a while, and requests
-/// that it would have served were ended.
+/// Guards against abandoning a request at the only runner with its model. Such a runner was full and therefore silent
+/// for a while, and requests that it would have served were aborted.
 #[tokio::test]
 async fn a_silent_runner_is_waited_for_if_there_is_no_other() {
     let runner = ScriptedRunner::start(vec![Behaviour::LateEvents(1, 2)]).await;
@@ -85,10 +89,10 @@
 async fn a_silent_runner_costs_the_route_s_time_and_no_more() {
     let runner = ScriptedRunner::start(vec![Behaviour::Hang]).await;
     let test = TestIngress::start(&[&runner]).await;
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let response = test.request("/unsafe/", "id-1").send().await.unwrap();
     assert_eq!(response.status(), 504);
-    let elapsed = begun.elapsed();
+    let elapsed = started_at.elapsed();
     assert!(elapsed >= Duration::from_millis(1_450), "{elapsed:?}");
     assert!(elapsed < Duration::from_millis(1_900), "{elapsed:?}");
 }
@@ -106,7 +110,7 @@
     assert_eq!(second.received()[0].header("last-event-id"), Some("3"));
 }
 
-/// Two runners before a route with time for a long silence.
+/// Starts an ingress with two runners and a route whose timeout allows a long silence.
 async fn two_runners_with_a_long_route(
     first: &ScriptedRunner,
     second: &ScriptedRunner,
@@ -126,8 +130,9 @@
     response.text().await
 }
 
-/// Seen on a day of 295 machines, where it broke a rule beside a change of the configuration: a crowded runner was
-/// silent for over two seconds, its run was ended, the next runner was full, and the stream broke off.
+/// Guards against cancelling a silent run before another runner has accepted the stream. In a scenario with 295
+/// machines, during a configuration change, a saturated runner was silent for over two seconds, its run was cancelled,
+/// the next runner was full, and the stream was aborted.
 #[tokio::test]
 async fn a_silent_stream_is_not_ended_if_the_next_runner_is_full() {
     let first = ScriptedRunner::start(vec![Behaviour::PausedEvents(1, 6)]).await;
@@ -137,7 +142,11 @@
         .map(|number| format!("id: {number}\ndata: e{number}\n\n"))
         .collect();
     assert_eq!(long_stream(&test).await.unwrap(), expected);
-    assert_eq!(second.received().len(), 1, "it was not asked");
+    assert_eq!(
+        second.received().len(),
+        1,
+        "the second runner was not tried"
+    );
 }
 
 #[tokio::test]
@@ -150,24 +159,28 @@
         .collect();
     assert_eq!(long_stream(&test).await.unwrap(), expected);
     assert_eq!(second.received()[0].header("last-event-id"), Some("2"));
-    // The scripted runner looks at its connection after its pause.
+    // The scripted runner checks its connection after its pause.
     sleep(Duration::from_millis(1_500)).await;
     assert_eq!(
         first.closed(),
         1,
-        "the silent run goes on beside the new one"
+        "the silent run continues in parallel with the new one"
     );
 }
 
-/// Found while reading: past its time a silent stream was waited for again and again, without a pause.
+/// Guards against a busy loop: after its deadline, a silent stream was polled again and again without a pause (found in
+/// code review).
 #[tokio::test]
 async fn a_silent_stream_that_nobody_can_continue_ends_with_its_time() {
     let only = ScriptedRunner::start(vec![Behaviour::PausedEvents(1, 6)]).await;
     let test = TestIngress::start(&[&only]).await;
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let response = test.request("/stream/", "id-1").send().await.unwrap();
-    assert!(response.text().await.is_err(), "it looks whole");
-    let elapsed = begun.elapsed();
+    assert!(
+        response.text().await.is_err(),
+        "the response looks complete"
+    );
+    let elapsed = started_at.elapsed();
     assert!(elapsed >= Duration::from_millis(1_450), "{elapsed:?}");
     assert!(elapsed < Duration::from_millis(1_900), "{elapsed:?}");
 }
@@ -192,14 +205,14 @@
     assert_eq!(runner.closed(), 1);
 }
 
-/// A watch that was begun while the store was silent never gets an answer. Seen on a played day: a
-/// configuration stayed unknown for 11.5 s.
+/// Guards against relying on a watch that was opened while the store was unresponsive, because it never gets a
+/// response. This left a configuration unknown for 11.5 s.
 #[tokio::test]
 async fn a_configuration_comes_soon_after_the_store_was_silent() {
     let runner = ScriptedRunner::start(Vec::new()).await;
     let test = TestIngress::start(&[&runner]).await;
     test.store.is_silent.store(true, Ordering::Relaxed);
-    // Wakes the watch, which now hangs.
+    // Completes the open watch; the next one hangs.
     test.store.set_configuration(configuration(2, Vec::new()));
     sleep(Duration::from_millis(1_500)).await;
     test.store.is_silent.store(false, Ordering::Relaxed);
@@ -210,13 +223,13 @@
     assert_eq!(response.status(), 200);
 }
 
-/// Seen on a hunted day: a watch that was cut was begun again from its old revision, which the store had
-/// forgotten, and heard nothing for 4.6 s.
+/// Guards against resuming an interrupted watch from a revision that the store has compacted. Such a watch received no
+/// changes for 4.6 s.
 #[tokio::test]
 async fn a_configuration_comes_soon_after_the_history_was_lost() {
     let runner = ScriptedRunner::start(Vec::new()).await;
     let test = TestIngress::start(&[&runner]).await;
-    // The watch is open by now.
+    // Gives the daemon time to open its watch.
     sleep(Duration::from_millis(500)).await;
     let new = route("/new/", RouteKind::Repeatable);
     test.store
@@ -239,24 +252,24 @@
     assert_eq!(response.status(), 200);
 }
 
-/// Nobody says when the model is ready, so the request is refused early, with when to come back.
+/// Without an estimate of when the model is ready, the request is refused early with a `Retry-After`.
 #[tokio::test]
 async fn a_model_that_nobody_promises_is_refused_early() {
     let runner = ScriptedRunner::start(Vec::new()).await;
     let test = TestIngress::start(&[&runner]).await;
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let request = test
         .request("/stream/", "id-1")
         .header("x-model", "unknown");
     let response = request.send().await.unwrap();
     assert_eq!(response.status(), 503);
     assert!(response.headers().contains_key("retry-after"));
-    assert!(begun.elapsed() < Duration::from_millis(250));
+    assert!(started_at.elapsed() < Duration::from_millis(250));
     assert!(runner.received().is_empty());
 }
 
-/// Found while reading: a request may have run at a runner that broke off, and then waited for its model and was
-/// refused like one that surely has not run.
+/// Guards against a wrong "not run" refusal: a request may have run at a runner that broke the connection, then waited
+/// for its model and was refused like one that has definitely not run (found in code review).
 #[tokio::test]
 async fn a_request_that_may_have_run_is_not_refused_as_not_run() {
     let gone = Behaviour::Answer(421, "");
@@ -266,6 +279,10 @@
     let request = test.request("/stream/", "id-1").header("x-model", MODEL);
     let response = request.send().await.unwrap();
     assert!(response.status().is_server_error());
-    assert_ne!(response.status(), 503, "a 503 says that it did not run");
+    assert_ne!(
+        response.status(),
+        503,
+        "a 503 states that the request did not run"
+    );
     assert_eq!(first.received().len() + second.received().len(), 3);
 }
--- a/crates/ingress/tests/ingress/leaving_runners.rs
+++ b/crates/ingress/tests/ingress/leaving_runners.rs
@@ -16,14 +16,18 @@
 use crate::runner::ScriptedRunner;
 use crate::store::MemoryStore;
 use crate::support::{
-    MODEL, ObedientControl, RARE_MODEL, TestIngress, configuration, runner, settings,
+    ImmediateLoadControl, MODEL, RARE_MODEL, TestIngress, configuration, runner, settings,
 };
 
 const LEAVES: &str = "x-leaves: 1\r\n";
 /// Time in which one daemon's word reaches all others.
 const WORD: Duration = Duration::from_millis(500);
 
-async fn daemon(name: &str, store: &MemoryStore, control: &Arc<ObedientControl>) -> TestIngress {
+async fn daemon(
+    name: &str,
+    store: &MemoryStore,
+    control: &Arc<ImmediateLoadControl>,
+) -> TestIngress {
     let daemon = TestIngress::start_with(settings(name), store.share(), control.clone()).await;
     daemon.until_ready().await;
     daemon
--- a/crates/ingress/tests/ingress/limited_runners.rs
+++ b/crates/ingress/tests/ingress/limited_runners.rs
@@ -14,7 +14,7 @@
 
 use crate::runner::ScriptedRunner;
 use crate::store::MemoryStore;
-use crate::support::{MODEL, ObedientControl, TestIngress, route, runner, service, settings};
+use crate::support::{ImmediateLoadControl, MODEL, TestIngress, route, runner, service, settings};
 
 /// Requests a second that the runner names.
 const RATE: f64 = 1.0;
@@ -31,7 +31,10 @@
 const DEMAND: u64 = 5;
 
 /// Three daemons before some runners.
-async fn daemons(servers: &[&ScriptedRunner], control: Arc<ObedientControl>) -> Vec<TestIngress> {
+async fn daemons(
+    servers: &[&ScriptedRunner],
+    control: Arc<ImmediateLoadControl>,
+) -> Vec<TestIngress> {
     let store = MemoryStore::default();
     let entries = servers.iter().enumerate();
     store.set_runners(
@@ -143,7 +146,7 @@
 #[tokio::test]
 async fn a_limited_runner_is_asked_for_reports_within_its_rate() {
     let server = ScriptedRunner::start(Vec::new()).await;
-    let control = Arc::new(ObedientControl::default());
+    let control = Arc::new(ImmediateLoadControl::default());
     // A report that shows an order which nobody here has given is read again and again.
     control.set_busy(true);
     let daemons = daemons(&[&server], control.clone()).await;
--- a/crates/ingress/tests/ingress/lives.rs
+++ b/crates/ingress/tests/ingress/lives.rs
@@ -9,7 +9,7 @@
 
 use crate::runner::{Behaviour, ScriptedRunner};
 use crate::store::MemoryStore;
-use crate::support::{ObedientControl, RARE_MODEL, TestIngress, configuration, runner};
+use crate::support::{ImmediateLoadControl, RARE_MODEL, TestIngress, configuration, runner};
 
 /// Time in which a daemon that watches the store has heard of a change and settled it with reports.
 const SETTLED: Duration = Duration::from_millis(1_500);
@@ -32,12 +32,12 @@
         id: RunnerId::with_start("r0", start(millis)),
         ..runner(0, server.address)
     };
-    let control = Arc::new(ObedientControl::default());
+    let control = Arc::new(ImmediateLoadControl::default());
     control.restart(start(5));
     let store = MemoryStore::default();
     store.set_runners(vec![life(5)]);
     store.set_configuration(configuration(1, Vec::new()));
-    let test = TestIngress::start_before("d", store, control.clone()).await;
+    let test = TestIngress::start_with_store("d", store, control.clone()).await;
     test.until_ready().await;
     sleep(SETTLED).await;
     assert_eq!(status(&test, "id-1").await, 200);
@@ -59,12 +59,12 @@
         id: RunnerId::with_start("r0", start(5)),
         ..runner(0, server.address)
     };
-    let control = Arc::new(ObedientControl::default());
+    let control = Arc::new(ImmediateLoadControl::default());
     control.restart(start(9));
     let store = MemoryStore::default();
     store.set_runners(vec![listed]);
     store.set_configuration(configuration(1, Vec::new()));
-    let test = TestIngress::start_before("d", store, control.clone()).await;
+    let test = TestIngress::start_with_store("d", store, control.clone()).await;
     test.until_ready().await;
     sleep(SETTLED).await;
     assert_eq!(status(&test, "id-1").await, 503);
@@ -89,7 +89,9 @@
 
     // A daemon that starts now reads the same list.
     let store = test.store.share();
-    let late = TestIngress::start_before("late", store, Arc::new(ObedientControl::default())).await;
+    let late =
+        TestIngress::start_with_store("late", store, Arc::new(ImmediateLoadControl::default()))
+            .await;
     late.until_ready().await;
     let response = late.request("/unsafe/", "id-5").send().await.unwrap();
     assert_eq!((response.status().as_u16(), far.received().len()), (200, 4));
--- a/crates/ingress/tests/ingress/main.rs
+++ b/crates/ingress/tests/ingress/main.rs
@@ -1,4 +1,4 @@
-//! The ingress over real sockets on the loopback, against a store in memory and scripted runners.
+//! Integration tests of the ingress over loopback sockets, with an in-memory store and scripted runners.
 
 mod access;
 mod cold_runners;
--- a/crates/ingress/tests/ingress/requests.rs
+++ b/crates/ingress/tests/ingress/requests.rs
@@ -1,4 +1,4 @@
-//! Requests without faults.
+//! Requests in the absence of faults.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -6,7 +6,7 @@
 
 use crate::runner::{Behaviour, ScriptedRunner};
 use crate::store::MemoryStore;
-use crate::support::{ObedientControl, TestIngress, configuration, runner};
+use crate::support::{ImmediateLoadControl, TestIngress, configuration, runner};
 
 #[tokio::test]
 async fn a_request_and_its_answer_pass_unaltered() {
@@ -35,8 +35,9 @@
     assert!((500..=900).contains(&left), "{left}");
 }
 
-/// Seen on a played day: hundreds of daemons had started at once before thousands of runners, and refused all requests for
-/// the five seconds that the store's link took to tell each of them the last page of the list.
+/// Guards against a daemon that refuses requests until it has received the complete runner list. When hundreds of
+/// daemons started at once with thousands of runners, all of them refused requests for the five seconds in which the
+/// store's link delivered the last page of the list.
 #[tokio::test]
 async fn a_daemon_serves_once_the_first_page_of_the_list_has_come() {
     let server = ScriptedRunner::start(vec![Behaviour::Answer(200, "made")]).await;
@@ -44,8 +45,8 @@
     store.lacks_pages.store(true, Ordering::Relaxed);
     store.set_runners(vec![runner(0, server.address)]);
     store.set_configuration(configuration(1, Vec::new()));
-    let control = Arc::new(ObedientControl::default());
-    let test = TestIngress::start_before("d", store, control).await;
+    let control = Arc::new(ImmediateLoadControl::default());
+    let test = TestIngress::start_with_store("d", store, control).await;
     test.until_ready().await;
     let response = test.request("/safe/", "id-1").send().await.unwrap();
     assert_eq!(response.status(), 200);
@@ -55,13 +56,13 @@
 async fn a_stream_passes_event_by_event() {
     let runner = ScriptedRunner::start(vec![Behaviour::SlowEvents(1, 4)]).await;
     let test = TestIngress::start(&[&runner]).await;
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let mut response = test.request("/stream/", "id-1").send().await.unwrap();
     let first = response.chunk().await.unwrap().unwrap();
     assert_eq!(&first[..], b"id: 1\ndata: e1\n\n");
     assert!(
-        begun.elapsed() < Duration::from_millis(250),
-        "events are held back"
+        started_at.elapsed() < Duration::from_millis(250),
+        "events are delayed"
     );
     assert!(
         response
--- a/crates/ingress/tests/ingress/restored_store.rs
+++ b/crates/ingress/tests/ingress/restored_store.rs
@@ -10,7 +10,7 @@
 use crate::coordination::two_daemons;
 use crate::runner::ScriptedRunner;
 use crate::store::MemoryStore;
-use crate::support::{ObedientControl, TestIngress, configuration, route, runner, settings};
+use crate::support::{ImmediateLoadControl, TestIngress, configuration, route, runner, settings};
 
 /// Time within which daemons must know what the store has acknowledged; see [`crate::support::settings`].
 const NEWS_BOUND: Duration = Duration::from_secs(2);
@@ -71,7 +71,7 @@
     store.set_configuration(configuration(1, Vec::new()));
     let mut own = settings("a");
     own.evacuation_bound = Some(NEWS_BOUND);
-    let control = Arc::new(ObedientControl::default());
+    let control = Arc::new(ImmediateLoadControl::default());
     let daemon = TestIngress::start_with(own, store.share(), control).await;
     daemon.until_ready().await;
     let copy = store.copy();
--- a/crates/ingress/tests/ingress/stops.rs
+++ b/crates/ingress/tests/ingress/stops.rs
@@ -1,4 +1,4 @@
-//! Planned stops.
+//! Planned shutdowns.
 
 use std::net::SocketAddr;
 use std::thread;
@@ -24,7 +24,7 @@
     assert_eq!(
         late.status(),
         200,
-        "clients still come until the entrance has noticed"
+        "clients still connect until the load balancer has noticed the readiness change"
     );
     assert_eq!(late.headers()["connection"], "close");
     assert!(
@@ -37,18 +37,18 @@
     stopping.await.unwrap();
 }
 
-/// Seen on played days: a request that was still under way at the very end of the grace was closed
-/// without an answer.
+/// Guards against closing the connection of a request that is still in progress at the end of the grace period without
+/// a response.
 #[tokio::test]
 async fn a_request_at_the_end_of_the_grace_gets_its_final_answer() {
     let runner = ScriptedRunner::start(vec![Behaviour::Hang]).await;
     let mut test = TestIngress::start(&[&runner]).await;
     let stopping = tokio::spawn(test.ingress.take().unwrap().stop());
     sleep(Duration::from_millis(2_400)).await;
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let response = test.request("/unsafe/", "id-1").send().await.unwrap();
     assert_eq!(response.status(), 502);
-    assert!(begun.elapsed() < Duration::from_millis(1_400));
+    assert!(started_at.elapsed() < Duration::from_millis(1_400));
     stopping.await.unwrap();
 }
 
@@ -58,17 +58,17 @@
     let mut test = TestIngress::start(&[&runner]).await;
     let stopping = tokio::spawn(test.ingress.take().unwrap().stop());
     sleep(Duration::from_millis(2_000)).await;
-    let held = test.request("/stream/", "id-1").send().await.unwrap();
+    let stream = test.request("/stream/", "id-1").send().await.unwrap();
     sleep(Duration::from_millis(900)).await;
     let response = test.request("/unsafe/", "id-2").send().await.unwrap();
     assert_eq!(response.status(), 503);
     assert!(response.headers().contains_key("retry-after"));
     assert_eq!(runner.received().len(), 1);
-    drop(held);
+    drop(stream);
     stopping.await.unwrap();
 }
 
-/// A daemon on a runtime of its own, with which all its sockets and tasks end as those of a process do.
+/// A daemon on its own runtime. Dropping the runtime closes all its sockets and tasks, like the end of a process.
 struct DaemonProcess {
     address: SocketAddr,
     stop: oneshot::Sender<()>,
@@ -78,52 +78,53 @@
 impl DaemonProcess {
     async fn start() -> Self {
         let (stop, stopped) = oneshot::channel();
-        let (tell_address, told_address) = oneshot::channel();
+        let (address_sender, address_receiver) = oneshot::channel();
         let process = thread::spawn(move || {
             let runtime = Builder::new_current_thread().enable_all().build().unwrap();
             runtime.block_on(async {
                 let runner = ScriptedRunner::start(Vec::new()).await;
                 let mut test = TestIngress::start(&[&runner]).await;
-                tell_address.send(test.address).unwrap();
+                address_sender.send(test.address).unwrap();
                 stopped.await.unwrap();
                 test.ingress.take().unwrap().stop().await;
             });
         });
         Self {
-            address: told_address.await.unwrap(),
+            address: address_receiver.await.unwrap(),
             stop,
             process,
         }
     }
 }
 
-/// What callers saw until nobody listened any more.
+/// Results observed by a caller until its connections were refused.
 #[derive(Debug, Default)]
-struct Seen {
+struct CallerResult {
     answered: usize,
     broken: Vec<String>,
 }
 
-/// Sends requests one after the other, each on a connection of its own if they are not kept.
-async fn call_until_unreached(address: SocketAddr, caller: usize, keeps: bool) -> Seen {
-    let kept = if keeps { 1 } else { 0 };
+/// Sends requests one after the other until the connection is refused, each on a new connection unless `keep_alive` is
+/// set.
+async fn call_until_refused(address: SocketAddr, caller: usize, keep_alive: bool) -> CallerResult {
+    let max_idle = if keep_alive { 1 } else { 0 };
     let client = reqwest::Client::builder().no_proxy();
-    let client = client.pool_max_idle_per_host(kept).build().unwrap();
-    let mut seen = Seen::default();
+    let client = client.pool_max_idle_per_host(max_idle).build().unwrap();
+    let mut result = CallerResult::default();
     loop {
-        let id = format!("id-{caller}-{}", seen.answered);
+        let id = format!("id-{caller}-{}", result.answered);
         let request = client.post(format!("http://{address}/safe/x"));
         let request = request.header("host", "a.example").header("x-id", id);
         match request.body("the body").send().await {
-            Ok(_) => seen.answered += 1,
-            Err(error) if error.is_connect() => return seen,
-            Err(error) => seen.broken.push(format!("{error:?}")),
+            Ok(_) => result.answered += 1,
+            Err(error) if error.is_connect() => return result,
+            Err(error) => result.broken.push(format!("{error:?}")),
         }
     }
 }
 
-/// Guards against a request that is lost as a process ends: seen in a soak, where a request on a connection that the system had
-/// accepted for the process got no answer, and its caller could not know whether it had run.
+/// Guards against losing a request while a process exits. In a soak test, a request on a connection that was pending in
+/// the listener's backlog got no response, so its caller could not know whether it had run.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn no_request_is_cut_off_as_a_stop_ends() {
     const DAEMONS: usize = 6;
@@ -133,15 +134,19 @@
     for daemon in 0..DAEMONS {
         let process = DaemonProcess::start().await;
         for caller in 0..CALLERS {
-            let (name, keeps) = (daemon * CALLERS + caller, caller % 2 == 0);
-            callers.spawn(call_until_unreached(process.address, name, keeps));
+            let (name, keep_alive) = (daemon * CALLERS + caller, caller % 2 == 0);
+            callers.spawn(call_until_refused(process.address, name, keep_alive));
         }
         process.stop.send(()).unwrap();
         processes.push(process.process);
     }
-    for seen in callers.join_all().await {
-        assert_eq!(seen.broken, Vec::<String>::new());
-        assert!(seen.answered > 10, "a caller had {} answers", seen.answered);
+    for result in callers.join_all().await {
+        assert_eq!(result.broken, Vec::<String>::new());
+        assert!(
+            result.answered > 10,
+            "a caller got only {} responses",
+            result.answered
+        );
     }
     for process in processes {
         process.join().unwrap();
--- a/crates/ingress/tests/ingress/store.rs
+++ b/crates/ingress/tests/ingress/store.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use async_trait::async_trait;
-use flaxward_ingress::outside::{
-    Changed, ClusterStore, Freshness, LeaseReading, Listing, RunnerChange, StoreError, TakePage,
+use flaxward_ingress::interfaces::{
+    Changed, ClusterStore, Freshness, LeaseLookup, Listing, PageHandler, RunnerChange, StoreError,
     UnreadableEntry, Watched,
 };
 use flaxward_routing::configuration::Configuration;
@@ -208,10 +208,10 @@
         self.answer_list().await?;
         let old = self.old_configuration.lock().unwrap().clone();
         match (freshness, old) {
-            (Freshness::MayBeOld, Some(old)) => {
+            (Freshness::MayBeStale, Some(old)) => {
                 return Ok(Listing::new(vec![old], FIRST));
             }
-            (Freshness::MayBeOld, None) => {}
+            (Freshness::MayBeStale, None) => {}
             (Freshness::Latest, _) => {
                 self.latest_reads.fetch_add(1, Relaxed);
             }
@@ -248,7 +248,7 @@
     async fn runners_by_page(
         &self,
         freshness: Freshness,
-        take_page: &TakePage<'_>,
+        take_page: &PageHandler<'_>,
     ) -> Result<Listing<Runner>, StoreError> {
         let listing = self.runners(freshness).await?;
         if self.lacks_pages.load(Relaxed) {
@@ -282,7 +282,7 @@
         Ok(Listing::new(contents.evacuated.clone(), contents.at()))
     }
 
-    async fn evacuations_changed(
+    async fn watch_evacuation_changes(
         &self,
         after: StoreRevision,
         wait: Duration,
@@ -295,12 +295,12 @@
         })
     }
 
-    async fn lease(&self) -> Result<LeaseReading, StoreError> {
+    async fn lease(&self) -> Result<LeaseLookup, StoreError> {
         self.answer().await?;
         let contents = self.contents.lock().unwrap();
         Ok(match contents.lease() {
-            Some(lease) => LeaseReading::Found(lease),
-            None => LeaseReading::Missing(contents.at().era),
+            Some(lease) => LeaseLookup::Found(lease),
+            None => LeaseLookup::Missing(contents.at().era),
         })
     }
 
--- a/crates/ingress/tests/ingress/support.rs
+++ b/crates/ingress/tests/ingress/support.rs
@@ -1,4 +1,4 @@
-//! An ingress with one route of each kind, and a surface of the tests' own.
+//! Test ingress with one route of each kind and a test wire format.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -8,8 +8,8 @@
 
 use async_trait::async_trait;
 use flaxward_clock::SystemTime;
-use flaxward_ingress::outside::{
-    FencedOrder, HeadKind, Passage, ProfileError, RunnerControl, Surface,
+use flaxward_ingress::interfaces::{
+    FencedOrder, ForwardingContext, HeadKind, ProfileError, RunnerControl, Surface,
 };
 use flaxward_ingress::settings::KeyTrust;
 use flaxward_ingress::{Ingress, IngressSettings};
@@ -38,16 +38,17 @@
 use crate::store::MemoryStore;
 
 pub const SERVICE: &str = "pool";
-/// The model that the runners of a service with an engine hold.
+/// The model that all runners hold from the start.
 pub const MODEL: &str = "m";
-/// Models that must be loaded first.
+/// Models that no runner holds until it is ordered to load them.
 pub const RARE_MODEL: &str = "rare";
 pub const OTHER_RARE_MODEL: &str = "other";
 
-/// Headers of the tests: `x-id`, `x-deadline`, `x-model`, `x-stamp`, `x-not-run`, `x-leaves`, `x-rate-limit`, `x-rest`.
+/// Wire format of the tests, with the headers `x-id`, `x-deadline`, `x-model`, `x-stamp`, `x-not-run`, `x-leaves`,
+/// `x-rate-limit`, `x-rest`.
 struct TestSurface;
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
@@ -57,40 +58,40 @@
     }
 
     fn profile(&self, headers: &HeaderMap) -> Result<RequestProfile, ProfileError> {
-        let id = text(headers, "x-id").ok_or(ProfileError::Missing("x-id"))?;
-        let deadline = text(headers, "x-deadline").map(|value| value.parse().unwrap());
+        let id = header_text(headers, "x-id").ok_or(ProfileError::Missing("x-id"))?;
+        let deadline = header_text(headers, "x-deadline").map(|value| value.parse().unwrap());
         Ok(RequestProfile {
             id: id.to_owned(),
             deadline: deadline.map(Duration::from_millis),
-            model: text(headers, "x-model").map(|name| (ModelName::new(name), None)),
+            model: header_text(headers, "x-model").map(|name| (ModelName::new(name), None)),
             ..RequestProfile::default()
         })
     }
 
     fn key(&self, headers: &HeaderMap) -> Option<KeyDigest> {
-        text(headers, "x-key").map(|key| KeyDigest::of(key.as_bytes()))
+        header_text(headers, "x-key").map(|key| KeyDigest::of(key.as_bytes()))
     }
 
     fn remove_key(&self, headers: &mut HeaderMap) {
         headers.remove("x-key");
     }
 
-    fn prepare(&self, headers: &mut HeaderMap, passage: &Passage<'_>) {
+    fn prepare(&self, headers: &mut HeaderMap, context: &ForwardingContext<'_>) {
         headers.remove("x-tenant");
-        if let Some(tenant) = passage.tenant {
+        if let Some(tenant) = context.tenant {
             headers.insert("x-tenant", HeaderValue::from_str(tenant.as_str()).unwrap());
         }
-        let left = passage.time_left.as_millis().to_string();
+        let left = context.time_left.as_millis().to_string();
         headers.insert("x-deadline", HeaderValue::from_str(&left).unwrap());
-        let runner = HeaderValue::from_str(passage.runner.as_str()).unwrap();
+        let runner = HeaderValue::from_str(context.runner.as_str()).unwrap();
         headers.insert("x-runner", runner);
-        if let Some(event) = passage.last_event {
+        if let Some(event) = context.last_event {
             headers.insert("last-event-id", HeaderValue::from_str(event).unwrap());
         }
     }
 
-    fn judge(&self, id: &str, status: StatusCode, headers: &HeaderMap) -> HeadKind {
-        if text(headers, "x-id") != Some(id) {
+    fn classify(&self, id: &str, status: StatusCode, headers: &HeaderMap) -> HeadKind {
+        if header_text(headers, "x-id") != Some(id) {
             HeadKind::Foreign
         } else if headers.contains_key("x-not-run") {
             HeadKind::NotRun
@@ -102,7 +103,7 @@
     }
 
     fn notice(&self, _status: StatusCode, headers: &HeaderMap) -> RunnerNotice {
-        let number = |name| text(headers, name).map(|value| value.parse::<f64>().unwrap());
+        let number = |name| header_text(headers, name).map(|value| value.parse::<f64>().unwrap());
         RunnerNotice {
             leaves: headers.contains_key("x-leaves"),
             rate_limit: number("x-rate-limit").and_then(RequestRate::per_second),
@@ -115,7 +116,7 @@
     }
 }
 
-/// Runners that never answer orders or reports.
+/// Control interface of runners that respond neither to orders nor to report queries.
 pub struct SilentControl;
 
 #[async_trait]
@@ -129,39 +130,39 @@
     }
 }
 
-/// Runners that load at once what they are ordered to.
+/// Control interface of runners that execute load orders immediately.
 #[derive(Default)]
-pub struct ObedientControl {
+pub struct ImmediateLoadControl {
     loaded: Mutex<Vec<ModelName>>,
     orders: AtomicU64,
     start: Mutex<Option<RunnerStart>>,
     is_busy: AtomicBool,
     calls: Mutex<Vec<Instant>>,
-    /// The order counts that orders expected.
+    /// The expected order counts of the received orders.
     pub expected: Mutex<Vec<u64>>,
 }
 
-impl ObedientControl {
-    /// Orders that were given.
+impl ImmediateLoadControl {
+    /// Number of orders received.
     pub fn order_count(&self) -> u64 {
         self.orders.load(Ordering::Relaxed)
     }
 
-    /// Sets whether reports show an order under way that nobody here has given.
+    /// Sets whether reports show an order in progress that this coordinator has not sent.
     pub fn set_busy(&self, is_busy: bool) {
         self.is_busy.store(is_busy, Ordering::Relaxed);
     }
 
-    /// When it was called: reports and orders.
+    /// Times of all calls, both report queries and orders.
     pub fn calls(&self) -> Vec<Instant> {
         self.calls.lock().unwrap().clone()
     }
 
-    fn note_call(&self) {
+    fn record_call(&self) {
         self.calls.lock().unwrap().push(Instant::now());
     }
 
-    /// The runners start again: they have loaded nothing and count their orders from the beginning.
+    /// Simulates a restart of the runners: their loaded models and order counts are reset.
     pub fn restart(&self, start: RunnerStart) {
         *self.start.lock().unwrap() = Some(start);
         self.loaded.lock().unwrap().clear();
@@ -170,9 +171,9 @@
 }
 
 #[async_trait]
-impl RunnerControl for ObedientControl {
+impl RunnerControl for ImmediateLoadControl {
     async fn report(&self, _address: SocketAddr) -> Option<RunnerReport> {
-        self.note_call();
+        self.record_call();
         let loaded = self.loaded.lock().unwrap().clone();
         let models = loaded.into_iter().chain([ModelName::new(MODEL)]);
         Some(RunnerReport {
@@ -185,7 +186,7 @@
     }
 
     async fn order(&self, _address: SocketAddr, order: &FencedOrder<'_>) -> OrderAnswer {
-        self.note_call();
+        self.record_call();
         self.expected.lock().unwrap().push(order.expected_count);
         self.orders.fetch_add(1, Ordering::Relaxed);
         let model = order.order.unit.model.clone();
@@ -234,7 +235,7 @@
     }
 }
 
-/// The service of the runners, which bear all from their start.
+/// The service of the runners, which have no cold period.
 pub fn service() -> Service {
     Service {
         name: ServiceName::new(SERVICE),
@@ -244,18 +245,18 @@
     }
 }
 
-/// A configuration with the routes `/safe/`, `/unsafe/` and `/stream/`.
-pub fn configuration(version: u64, more: Vec<Route>) -> Configuration {
+/// A configuration with the routes `/safe/`, `/unsafe/` and `/stream/` and additional ones.
+pub fn configuration(version: u64, additional: Vec<Route>) -> Configuration {
     let mut routes = vec![
         route("/safe/", RouteKind::Repeatable),
         route("/unsafe/", RouteKind::AtMostOnce),
         route("/stream/", RouteKind::Stream { resumable: true }),
     ];
-    routes.extend(more);
+    routes.extend(additional);
     Configuration::new(version, ClientLimits::default(), routes, vec![service()])
 }
 
-/// A tenant with a key of its own name and, if a rate is given, as many units a second and at once.
+/// A tenant with the given keys and, if a rate is given, a request quota with that rate and an equal burst.
 pub fn tenant(name: &str, keys: &[&str], rate: Option<f64>) -> TenantKeys {
     let quota = rate.map(|rate| Quota {
         unit: QuotaUnit::Requests,
@@ -276,8 +277,8 @@
     }
 }
 
-/// The same configuration with tenants and a route `/open/` that needs no key.
-pub fn configuration_with(version: u64, tenants: Vec<TenantKeys>) -> Configuration {
+/// A configuration with tenants and an additional route `/open/` that needs no key.
+pub fn configuration_with_tenants(version: u64, tenants: Vec<TenantKeys>) -> Configuration {
     let open = Route {
         is_public: true,
         ..route("/open/", RouteKind::Repeatable)
@@ -293,7 +294,7 @@
         revision: 0,
         service: ServiceName::new(SERVICE),
         address,
-        // The first runner is nearer, so that it is asked first.
+        // The first runner is in the ingress's zone, so it is tried first.
         zone: Zone::new(if index == 0 { "z0" } else { "z1" }),
         slots: 8,
         draining: false,
@@ -305,7 +306,7 @@
     }
 }
 
-/// An ingress with its store.
+/// A running ingress and its store.
 pub struct TestIngress {
     pub ingress: Option<Ingress>,
     pub store: Arc<MemoryStore>,
@@ -314,7 +315,7 @@
 }
 
 impl TestIngress {
-    /// Starts an ingress before these runners; the first is asked first.
+    /// Starts an ingress with these runners, of which the first one is tried first.
     pub async fn start(runners: &[&ScriptedRunner]) -> Self {
         let test = Self::start_unconfigured().await;
         let runners = runners.iter().enumerate();
@@ -326,11 +327,11 @@
     }
 
     pub async fn start_unconfigured() -> Self {
-        Self::start_before("d", MemoryStore::default(), Arc::new(SilentControl)).await
+        Self::start_with_store("d", MemoryStore::default(), Arc::new(SilentControl)).await
     }
 
-    /// Starts an ingress with a way to a store and a control interface of runners.
-    pub async fn start_before(
+    /// Starts an ingress with a store and a control interface of runners.
+    pub async fn start_with_store(
         name: &str,
         store: MemoryStore,
         control: Arc<dyn RunnerControl>,
@@ -338,7 +339,7 @@
         Self::start_with(settings(name), store, control).await
     }
 
-    /// The same with settings of the test's own.
+    /// Starts an ingress with custom settings.
     pub async fn start_with(
         settings: IngressSettings,
         store: MemoryStore,
@@ -373,7 +374,7 @@
         response.map_or(0, |response| response.status().as_u16())
     }
 
-    /// A request of a client.
+    /// Builds a client request.
     pub fn request(&self, path: &str, id: &str) -> reqwest::RequestBuilder {
         client()
             .post(format!("http://{}{path}", self.address))
--- a/crates/ingress/tests/ingress/suspension.rs
+++ b/crates/ingress/tests/ingress/suspension.rs
@@ -13,8 +13,8 @@
 use crate::runner::{Behaviour, ScriptedRunner};
 use crate::store::MemoryStore;
 use crate::support::{
-    ObedientControl, RARE_MODEL, TestIngress, configuration, configuration_with, runner, settings,
-    tenant,
+    ImmediateLoadControl, RARE_MODEL, TestIngress, configuration, configuration_with_tenants,
+    runner, settings, tenant,
 };
 
 /// One lease, and some time for others.
@@ -52,7 +52,7 @@
     store.set_configuration(configuration(1, Vec::new()));
     let (time, control) = (
         Arc::new(Leaping::default()),
-        Arc::new(ObedientControl::default()),
+        Arc::new(ImmediateLoadControl::default()),
     );
     let mut own_settings = settings("a");
     own_settings.time = time.clone();
@@ -85,7 +85,10 @@
     let server = ScriptedRunner::start(Vec::new()).await;
     let store = MemoryStore::default();
     store.set_runners(vec![runner(0, server.address)]);
-    store.set_configuration(configuration_with(1, vec![tenant("a", &["ka"], None)]));
+    store.set_configuration(configuration_with_tenants(
+        1,
+        vec![tenant("a", &["ka"], None)],
+    ));
     let time = Arc::new(Leaping::default());
     let mut own_settings = settings("a");
     own_settings.time = time.clone();
@@ -93,7 +96,7 @@
         known: Some(SUSPENSION / 2),
         unknown: Some(SUSPENSION / 2),
     };
-    let control = Arc::new(ObedientControl::default());
+    let control = Arc::new(ImmediateLoadControl::default());
     let daemon = TestIngress::start_with(own_settings, store.share(), control).await;
     daemon.until_ready().await;
     sleep(COORDINATED).await;
@@ -128,7 +131,7 @@
     let daemon = TestIngress::start_with(
         own_settings,
         store.share(),
-        Arc::new(ObedientControl::default()),
+        Arc::new(ImmediateLoadControl::default()),
     )
     .await;
     daemon.until_ready().await;
