--- a/crates/ingress/src/coordination/mod.rs
+++ b/crates/ingress/src/coordination/mod.rs
@@ -33,7 +33,7 @@
 use tokio::time::sleep_until;
 
 use crate::counters::{NEWS_WITH_GAPS, PLAN_SECONDS, SUSPENSIONS};
-use crate::peer::{NotUnderstood, PeerSocket};
+use crate::peer::{PeerSocket, UndecodableMessage};
 use crate::spells::end_spells;
 use crate::state::Shared;
 use crate::watches::{take_evacuations, take_membership};
@@ -272,7 +272,7 @@
         let earliest_arrival = self.arrivals.earliest_arrival();
         match received {
             Received::PassOn(forwarded) => {
-                self.peers.pass_on(forwarded, now.since(earliest_arrival));
+                self.peers.forward(forwarded, now.since(earliest_arrival));
             }
             Received::Arrival(arrival) => {
                 self.note_coordinator_route(arrival.from, now);
@@ -283,7 +283,7 @@
 
     /// Logs, once for each address and reason, that a daemon has sent a message that this build can't decode: it may run
     /// another build, and counts as silent here.
-    fn log_not_understood(&mut self, other: &NotUnderstood) {
+    fn log_not_understood(&mut self, other: &UndecodableMessage) {
         let reason = other.error.to_string();
         if self.logged_not_understood.len() >= MAX_NOT_UNDERSTOOD {
             self.logged_not_understood.clear();
--- a/crates/ingress/tests/ingress/legacy_coordinator.rs
+++ b/crates/ingress/tests/ingress/legacy_coordinator.rs
@@ -201,7 +201,7 @@
     store.set_configuration(configuration(1, Vec::new()));
     store.withholds_lists.store(true, Ordering::Relaxed);
     let coordinator = LegacyCoordinator::start(runner).await;
-    let daemon = TestIngress::start_before("d", store, Arc::new(SilentControl)).await;
+    let daemon = TestIngress::start_with_store("d", store, Arc::new(SilentControl)).await;
     let member = daemon.ingress.as_ref().unwrap().peer_address;
     let coordinator_task = tokio::spawn(coordinator.lead(member));
     daemon.until_ready().await;
@@ -221,7 +221,7 @@
     let store = MemoryStore::default();
     store.withholds_lists.store(true, Ordering::Relaxed);
     let coordinator = LegacyCoordinator::start(runner).await;
-    let daemon = TestIngress::start_before("d", store, Arc::new(SilentControl)).await;
+    let daemon = TestIngress::start_with_store("d", store, Arc::new(SilentControl)).await;
     let member = daemon.ingress.as_ref().unwrap().peer_address;
     let summaries = coordinator.count_summaries(member, HOLDINGS_BOUND).await;
     assert!(summaries > 3, "{summaries} in {HOLDINGS_BOUND:?}");
--- a/crates/ingress/tests/ingress/store.rs
+++ b/crates/ingress/tests/ingress/store.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use async_trait::async_trait;
-use flaxward_ingress::outside::{
-    Changed, ClusterStore, Freshness, LeaseReading, Listing, RunnerChange, StoreError, TakePage,
+use flaxward_ingress::interfaces::{
+    Changed, ClusterStore, Freshness, LeaseLookup, Listing, PageHandler, RunnerChange, StoreError,
     UnreadableEntry, Watched,
 };
 use flaxward_routing::configuration::Configuration;
@@ -208,10 +208,10 @@
         self.answer_list().await?;
         let stale = self.stale_configuration.lock().unwrap().clone();
         match (freshness, stale) {
-            (Freshness::MayBeOld, Some(stale)) => {
+            (Freshness::MayBeStale, Some(stale)) => {
                 return Ok(Listing::new(vec![stale], FIRST_REVISION));
             }
-            (Freshness::MayBeOld, None) => {}
+            (Freshness::MayBeStale, None) => {}
             (Freshness::Latest, _) => {
                 self.latest_reads.fetch_add(1, Relaxed);
             }
@@ -248,7 +248,7 @@
     async fn runners_by_page(
         &self,
         freshness: Freshness,
-        take_page: &TakePage<'_>,
+        take_page: &PageHandler<'_>,
     ) -> Result<Listing<Runner>, StoreError> {
         let listing = self.runners(freshness).await?;
         if self.withholds_pages.load(Relaxed) {
@@ -287,7 +287,7 @@
         ))
     }
 
-    async fn evacuations_changed(
+    async fn watch_evacuation_changes(
         &self,
         after: StoreRevision,
         wait: Duration,
@@ -300,12 +300,12 @@
         })
     }
 
-    async fn lease(&self) -> Result<LeaseReading, StoreError> {
+    async fn lease(&self) -> Result<LeaseLookup, StoreError> {
         self.answer().await?;
         let contents = self.contents.lock().unwrap();
         Ok(match contents.lease() {
-            Some(lease) => LeaseReading::Found(lease),
-            None => LeaseReading::Missing(contents.revision().era),
+            Some(lease) => LeaseLookup::Found(lease),
+            None => LeaseLookup::Missing(contents.revision().era),
         })
     }
 
