--- a/crates/flaxward/src/ingress.rs
+++ b/crates/flaxward/src/ingress.rs
@@ -143,7 +143,7 @@
         peer_listen: file.ingress.peer_listen,
         metrics_listen: file.ingress.metrics_listen,
         strength: strength(&file.machine),
-        news_bound: file.news.bound(),
+        propagation_bound: file.news.bound(),
         evacuation_bound: file.news.evacuation,
         cold_runners: file.cold_runners.map(|it| ColdRunnerSettings {
             rate_factor: it.rate_factor,
--- a/crates/ingress/src/access.rs
+++ b/crates/ingress/src/access.rs
@@ -1,4 +1,4 @@
-//! Who may send a request: the tenant that holds its key, and whether the tenant's quota has room.
+//! Access control: identifies the tenant by the request's key and enforces the tenant's quota.
 
 use std::fmt::Display;
 use std::net::SocketAddr;
@@ -20,14 +20,16 @@
 use crate::refused::Refused;
 use crate::state::Shared;
 
-/// When to come back, to another daemon, if this one cannot tell which keys hold.
+/// Retry delay sent if this daemon cannot tell which keys are valid; the retry is expected to reach
+/// another daemon.
 const RETRY_UNCONFIRMED: Duration = Duration::from_millis(50);
 
-/// The tenant that holds a request's key; `None` if the request needs no key.
+/// The tenant that owns a request's key; `None` if the request needs no key.
 ///
 /// # Errors
-/// Refuses a request without a key that holds. While this daemon does not know whether its configuration is still
-/// the newest, it can neither serve a key that may have been taken away nor deny one that may have been added.
+/// Refuses a request without a valid key. While this daemon does not know whether its configuration
+/// is still the newest, it can neither accept a key that may have been revoked nor deny one that
+/// may have been added.
 pub(crate) fn tenant(
     shared: &Shared,
     configuration: &Configuration,
@@ -53,8 +55,9 @@
     }
 }
 
-/// The tenant whose homes bind a request: also where the route needs no key, if the request has one that holds.
-pub(crate) fn bound_by(
+/// The tenant whose home regions restrict a request. Applies also to public routes, if the request
+/// has a valid key.
+pub(crate) fn restricting_tenant(
     shared: &Shared,
     configuration: &Configuration,
     headers: &HeaderMap,
@@ -93,7 +96,7 @@
     Refused::unsent(id, route.name.as_str(), refusal, reason)
 }
 
-/// What a request has taken of its tenant's quota.
+/// Units that a request has taken from its tenant's quota.
 #[derive(Debug)]
 pub(crate) struct Charge {
     tenant: TenantName,
@@ -101,14 +104,14 @@
 }
 
 impl Charge {
-    /// Counts what has become of it, by tenant: there are as many as the configuration names.
+    /// Counts the outcome by tenant; the number of labels is bounded by the configuration.
     fn record(&self, outcome: &'static str) {
         let tenant = self.tenant.to_string();
         metrics::counter!(QUOTA_UNITS.name, "tenant" => tenant, "outcome" => outcome)
             .increment(u64::from(self.cost));
     }
 
-    /// Gives it back, because the request has surely not run.
+    /// Refunds the charge, because the request has definitely not run.
     pub(crate) fn give_back(self, shared: &Shared) {
         let now = shared.now();
         shared.tables().quota.refund(&self.tenant, self.cost, now);
@@ -116,13 +119,14 @@
     }
 }
 
-/// Longest time for an answer of the keeper: a message each way, and the longest plan of a coordinator.
-const ANSWER_TIME: Duration = Duration::from_millis(80);
+/// Timeout for an answer of the keeper: a message each way, and the longest planning round of a
+/// coordinator.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(80);
 
-/// Takes what a request counts from its tenant's quota.
+/// Charges the cost of a request to its tenant's quota.
 ///
 /// # Errors
-/// Refuses it if the tenant has used its quota up.
+/// Refuses the request if the tenant's quota is exhausted.
 pub(crate) async fn charge(
     shared: &Shared,
     tenant: &Tenant,
@@ -136,11 +140,11 @@
         tenant: tenant.name.clone(),
         cost,
     };
-    let verdict = match admit(shared, tenant, cost) {
+    let decision = match admit(shared, tenant, cost) {
         QuotaDecision::Ask(keeper) => ask(shared, &charge, route.priority, keeper).await,
         decided => decided,
     };
-    let QuotaDecision::Refused { retry_after, basis } = verdict else {
+    let QuotaDecision::Refused { retry_after, basis } = decision else {
         charge.record("admitted");
         return Ok(charge);
     };
@@ -148,29 +152,29 @@
     let basis = match basis {
         RefusalBasis::Keeper => "by the keeper".to_owned(),
         RefusalBasis::LastAnnouncedShare { admit } => {
-            format!("no answer, {admit} of 1000 are admitted")
+            format!("no answer from the keeper, {admit} of 1000 admitted")
         }
-        RefusalBasis::LocalShare => "no keeper is heard, and the own share is used up".to_owned(),
+        RefusalBasis::LocalShare => "no keeper known, local share exhausted".to_owned(),
     };
     let reason = format!("quota of {}: {cost} refused, {basis}", tenant.name);
     let refusal = Refusal::new(ResultCode::QuotaExceeded).with_retry_after(retry_after);
     Err(refused(&profile.id, route, refusal, reason))
 }
 
-/// What this daemon decides by itself.
+/// Decides locally, or names the keeper to ask.
 fn admit(shared: &Shared, tenant: &Tenant, cost: u32) -> QuotaDecision {
     let now = shared.now();
     let mut tables = shared.tables();
-    let verdict = tables.quota.admit(tenant, cost, rand::random(), now);
+    let decision = tables.quota.admit(tenant, cost, rand::random(), now);
     let is_due = tables.quota.report_due_at() <= now;
     drop(tables);
     if is_due {
         shared.keeper_wake.notify_one();
     }
-    verdict
+    decision
 }
 
-/// What the keeper decides, or else this daemon by what the keeper has told before.
+/// Asks the keeper to decide; on a time-out, decides by the keeper's last announced share.
 async fn ask(shared: &Shared, charge: &Charge, rank: u8, keeper: SocketAddr) -> QuotaDecision {
     let question = shared.quota_questions.ask(keeper, |number| QuotaQuestion {
         number,
@@ -179,7 +183,7 @@
         rank,
     });
     shared.keeper_wake.notify_one();
-    let answer = timeout(ANSWER_TIME, question.answer()).await;
+    let answer = timeout(ANSWER_TIMEOUT, question.answer()).await;
     let (tenant, cost) = (&charge.tenant, charge.cost);
     let now = shared.now();
     let mut tables = shared.tables();
--- a/crates/ingress/src/coordination/calls.rs
+++ b/crates/ingress/src/coordination/calls.rs
@@ -230,6 +230,6 @@
         revision: Some(lease.revision.number),
         reason,
     };
-    shared.note_unreadable(ObjectKind::Lease, &[entry]);
+    shared.record_unreadable(ObjectKind::Lease, &[entry]);
     LeaseAnswer::Unreadable(lease)
 }
--- a/crates/ingress/src/coordination/crashes.rs
+++ b/crates/ingress/src/coordination/crashes.rs
@@ -65,7 +65,7 @@
     /// Takes in what another daemon holds in quarantine.
     pub(super) fn heard_quarantine(&mut self, news: &QuarantineNews) {
         let now = self.shared.now();
-        self.shared.take_quarantine(&news.entries, "daemon");
+        self.shared.merge_quarantine(&news.entries, "daemon");
         let answer = self
             .quarantine
             .answer(&self.shared.tables().quarantine, news, now);
--- a/crates/ingress/src/coordination/following.rs
+++ b/crates/ingress/src/coordination/following.rs
@@ -11,7 +11,7 @@
 use flaxward_types::time::Timestamp;
 
 use crate::state::{Shared, Tables};
-use crate::watches::take_membership;
+use crate::watches::apply_membership;
 
 /// Time between two messages with all that requests use.
 const USAGE_INTERVAL: Duration = Duration::from_secs(1);
@@ -268,14 +268,14 @@
         let lacks_runners = direction
             .membership
             .take()
-            .is_some_and(|update| !take_membership(shared, update, known));
+            .is_some_and(|update| !apply_membership(shared, update, known));
         if !leads {
             match direction.standby {
                 StandbyPlace::Unsaid => {}
                 StandbyPlace::None => shared.set_watch_role(WatchRole::Member),
                 StandbyPlace::Place(place) => shared.set_watch_role(WatchRole::Standby(place)),
             }
-            shared.hear_store(direction.address, &direction.store, came_after);
+            shared.record_store_report(direction.address, &direction.store, came_after);
         }
         if let Some(members) = direction.members {
             self.members = members;
@@ -309,7 +309,7 @@
             coordinator.holdings_version = coordinator.holdings_version.max(version);
         }
         drop(tables);
-        shared.tell_outlooks(direction.outlooks);
+        shared.apply_readiness_estimates(direction.outlooks);
         if has_news {
             shared.changed.notify_waiters();
         }
--- a/crates/ingress/src/coordination/informing.rs
+++ b/crates/ingress/src/coordination/informing.rs
@@ -39,9 +39,9 @@
 impl Informing {
     /// The messages that are due.
     pub fn due(&mut self, shared: &Shared, own: SocketAddr, now: Timestamp) -> Vec<StoreNews> {
-        let word = *shared.store_word.borrow();
+        let word = *shared.store_report.borrow();
         let is_standby = matches!(word.role, WatchRole::Standby(_));
-        if !is_standby || word.stands_until(now).is_some() || shared.is_stopping() {
+        if !is_standby || word.valid_until(now).is_some() || shared.is_stopping() {
             self.asking = None;
             return Vec::new();
         }
--- a/crates/ingress/src/coordination/mod.rs
+++ b/crates/ingress/src/coordination/mod.rs
@@ -33,11 +33,11 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep_until;
 
-use crate::counters::{NEWS_WITH_GAPS, PLAN_SECONDS, SUSPENSIONS};
+use crate::cold_periods::end_cold_periods;
+use crate::counters::{PLAN_SECONDS, SUSPENSIONS, UPDATES_WITH_GAPS};
 use crate::peer::{NotUnderstood, PeerSocket};
-use crate::spells::end_spells;
 use crate::state::Shared;
-use crate::watches::{take_evacuations, take_membership};
+use crate::watches::{apply_evacuations, apply_membership};
 
 use calls::{Caller, Event, log_foreign_report, log_settled, operation_name};
 use configurations::Configurations;
@@ -210,9 +210,7 @@
             self.peers.hops().note_known(known_until);
         }
         let hears = self.lease.hears_holder(now);
-        self.shared
-            .hears_coordinator
-            .store(hears, Ordering::Relaxed);
+        self.shared.has_coordinator.store(hears, Ordering::Relaxed);
         self.tell_quarantine(now);
         let (call, change) = self.lease.poll(now);
         if let Some(change) = change {
@@ -227,7 +225,7 @@
         self.quotas.send_questions(&self.shared, &self.peers, now);
         self.tell_notices(now);
         self.send_permit_questions(now);
-        end_spells(&self.shared);
+        end_cold_periods(&self.shared);
         self.tell_limits(now);
         if self.leading.as_ref().is_some_and(|it| now >= it.plan_due()) {
             self.plan();
@@ -436,7 +434,7 @@
                     self.lease.set_stands_by(stands_by);
                 }
                 let leads = self.leading.is_some();
-                take_evacuations(&self.shared, direction.evacuations.clone(), "coordinator");
+                apply_evacuations(&self.shared, direction.evacuations.clone(), "coordinator");
                 self.compare_quarantine(direction.address, direction.quarantine_digest);
                 self.quotas.heard_news(&self.shared, &direction.quota);
                 let version = direction.store.configuration_version;
@@ -488,15 +486,16 @@
             return;
         }
         if let Some(update) = news.membership
-            && !take_membership(&self.shared, update, news.state.membership_revision)
+            && !apply_membership(&self.shared, update, news.state.membership_revision)
         {
-            metrics::counter!(NEWS_WITH_GAPS.name).increment(1);
+            metrics::counter!(UPDATES_WITH_GAPS.name).increment(1);
         }
-        take_evacuations(&self.shared, news.evacuations, "standby");
+        apply_evacuations(&self.shared, news.evacuations, "standby");
         self.compare_quarantine(news.from, news.quarantine_digest);
         let version = news.state.configuration_version;
         self.configurations.told(&self.shared, news.from, version);
-        self.shared.hear_store(news.from, &news.state, came_after);
+        self.shared
+            .record_store_report(news.from, &news.state, came_after);
     }
 
     /// Takes in a message of a member, if this daemon coordinates.
@@ -520,7 +519,7 @@
                 self.note_store(&answer);
                 if let LeaseAnswer::Found(lease) = &answer {
                     let quarantine = &lease.record.quarantine;
-                    self.shared.take_quarantine(quarantine, "lease");
+                    self.shared.merge_quarantine(quarantine, "lease");
                 }
                 if let Some(change) = self.lease.handle_answer(answer, now) {
                     self.lease_changed(&change);
@@ -564,10 +563,10 @@
     fn note_store(&mut self, answer: &LeaseAnswer) {
         let fails = *answer == LeaseAnswer::Unknown;
         if !fails {
-            self.shared.note_store_seen();
+            self.shared.record_store_answer();
         }
         if let Some(revision) = answer.revision() {
-            self.shared.note_store_era(revision);
+            self.shared.record_store_era(revision);
         }
         if self.store_fails && !fails {
             self.shared.restart_watches();
--- a/crates/ingress/src/coordination/notices.rs
+++ b/crates/ingress/src/coordination/notices.rs
@@ -21,7 +21,7 @@
         if self.leading.is_none() && coordinator.is_none() {
             return;
         }
-        let runners = self.shared.take_untold_notices();
+        let runners = self.shared.take_unsent_notices();
         if runners.is_empty() {
             return;
         }
@@ -39,7 +39,7 @@
         let mut news = BTreeSet::new();
         let mut outdated = BTreeSet::new();
         for notice in &told.notices {
-            match self.shared.heard_shared_notice(notice, came_after) {
+            match self.shared.merge_shared_notice(notice, came_after) {
                 NoticeUpdate::Changed => news.insert(notice.runner.clone()),
                 NoticeUpdate::SenderOutdated => outdated.insert(notice.runner.clone()),
                 NoticeUpdate::Unchanged => false,
--- a/crates/ingress/src/coordination/permits.rs
+++ b/crates/ingress/src/coordination/permits.rs
@@ -87,7 +87,7 @@
         .runners
         .get(&question.runner)
         .map(|runner| runner.service.clone());
-    let begun_at = tables.spells.started_at(&question.runner, now);
+    let begun_at = tables.cold_periods.started_at(&question.runner, now);
     let rate_limit = tables.notices.rate_limit(&question.runner);
     let has_named_rate = tables.notices.has_reported_rate(&question.runner);
     drop(tables);
--- a/crates/ingress/src/counted_store.rs
+++ b/crates/ingress/src/counted_store.rs
@@ -1,5 +1,5 @@
-//! Counts calls to the store by what they are for and what came of them. Each call costs the operators something, and
-//! which kind grows with the fleet cannot be told from their sum.
+//! Counts calls to the store by purpose and outcome. Each call puts load on the operators' store,
+//! and the sum alone does not show which kind of call grows with the fleet.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -27,7 +27,7 @@
     }
 }
 
-/// Counts a call that has ended.
+/// Counts a completed call.
 fn counted<Answer>(
     call: &'static str,
     answer: Result<Answer, StoreError>,
--- a/crates/ingress/src/counters.rs
+++ b/crates/ingress/src/counters.rs
@@ -15,10 +15,10 @@
     STORE_CALLS_FAILED,
     MESSAGES_NOT_SENT,
     MESSAGES_MALFORMED,
-    MESSAGES_OF_EARLIER_BUILDS,
+    LEGACY_MESSAGES,
     MESSAGES_FORWARDED,
-    NEWS_WITH_GAPS,
-    LINES_LEFT_OUT,
+    UPDATES_WITH_GAPS,
+    LOG_LINES_DROPPED,
     HEAD_SECONDS,
     PLAN_SECONDS,
     STREAMS_LATE,
@@ -34,12 +34,12 @@
     FOREIGN_REPORTS,
     ENTRIES_UNREADABLE,
     PERMITS,
-    ROOM_WAITS,
+    CAPACITY_WAITS,
     MESSAGE_BYTES,
     RUNNER_NOTICES,
 ];
 
-/// Requests whose answer, or the head of it, was passed on, by `status`, the class of the HTTP status.
+/// Requests whose answer, or its head, was forwarded, by `status`, the class of the HTTP status.
 pub const SERVED: Metric = Metric::counter(
     "flaxward_ingress_served_total",
     "Requests whose answer, or the head of it, was passed on, by `status`, the class of the HTTP status.",
@@ -49,17 +49,17 @@
     "flaxward_ingress_refused_total",
     "Requests refused by the ingress, by `code`, the result code.",
 );
-/// Attempts at runners that came to no answer, by `failure`.
+/// Attempts at runners that failed, by `failure`.
 pub const ATTEMPTS_FAILED: Metric = Metric::counter(
     "flaxward_ingress_attempts_failed_total",
     "Attempts at runners that came to no answer, by `failure`.",
 );
-/// Streams that a runner broke off or left silent, resumed ones included.
+/// Streams that a runner interrupted or left silent, including resumed ones.
 pub const STREAMS_BROKEN: Metric = Metric::counter(
     "flaxward_ingress_streams_broken_total",
     "Streams that a runner broke off or left silent, resumed ones included.",
 );
-/// Streams that another runner went on with.
+/// Streams resumed at another runner.
 pub const STREAMS_RESUMED: Metric = Metric::counter(
     "flaxward_ingress_streams_resumed_total",
     "Streams that another runner went on with.",
@@ -69,7 +69,7 @@
     "flaxward_ingress_connections_opened_total",
     "Connections opened to runners.",
 );
-/// Times that a runner was left alone for a while because it failed requests.
+/// Times that a runner was ejected for a while because it failed requests.
 pub const RUNNERS_EJECTED: Metric = Metric::counter(
     "flaxward_ingress_runners_ejected_total",
     "Times that a runner was left alone for a while because it failed requests.",
@@ -84,7 +84,7 @@
     "flaxward_ingress_store_calls_failed_total",
     "Reads of the store that failed.",
 );
-/// Messages to other daemons that the socket did not take.
+/// Messages to other daemons that the socket did not accept.
 pub const MESSAGES_NOT_SENT: Metric = Metric::counter(
     "flaxward_ingress_messages_not_sent_total",
     "Messages to other daemons that the socket did not take.",
@@ -94,112 +94,116 @@
     "flaxward_ingress_messages_malformed_total",
     "Messages of other daemons that could not be decoded.",
 );
-/// Messages of daemons of builds that know of no parts behind messages. None come once all machines run later ones.
-pub const MESSAGES_OF_EARLIER_BUILDS: Metric = Metric::counter(
+/// Messages of legacy builds without message extensions. The count stays constant once all machines
+/// run later builds.
+pub const LEGACY_MESSAGES: Metric = Metric::counter(
     "flaxward_ingress_messages_of_earlier_builds_total",
     "Messages of daemons of builds that know of no parts behind messages.",
 );
-/// Messages that were passed on between two daemons that do not reach each other.
+/// Messages relayed between two daemons that cannot reach each other.
 pub const MESSAGES_FORWARDED: Metric = Metric::counter(
     "flaxward_ingress_messages_forwarded_total",
     "Messages that were passed on between two daemons that do not reach each other.",
 );
-/// Messages of standbys with changes of runners that follow others which this daemon does not know.
-pub const NEWS_WITH_GAPS: Metric = Metric::counter(
+/// Messages of standbys with changes of runners that depend on changes which this daemon has not
+/// received.
+pub const UPDATES_WITH_GAPS: Metric = Metric::counter(
     "flaxward_ingress_news_with_gaps_total",
     "Messages of standbys with changes of runners that follow others which this daemon does not know.",
 );
-/// Lines of the log left out because too many came in one second.
-pub const LINES_LEFT_OUT: Metric = Metric::counter(
+/// Log lines dropped because too many came in one second.
+pub const LOG_LINES_DROPPED: Metric = Metric::counter(
     "flaxward_ingress_log_lines_left_out_total",
     "Lines of the log left out because too many came in one second.",
 );
-/// Seconds from the arrival of a request to the head of its answer, for a stream to its first event.
+/// Seconds from the arrival of a request to the head of its answer, or to the first event of a
+/// stream.
 pub const HEAD_SECONDS: Metric = Metric::histogram(
     "flaxward_ingress_head_seconds",
     "Seconds from the arrival of a request to the head of its answer, for a stream to its first event.",
 );
-/// Time that the coordinator takes for a plan, its messages included.
+/// Duration of a planning round of the coordinator, including its messages.
 pub const PLAN_SECONDS: Metric = Metric::histogram(
     "flaxward_ingress_plan_seconds",
     "Time that the coordinator takes for a plan, its messages included.",
 );
-/// Streams with a pause between events that was longer than the route's target for it.
+/// Streams with a pause between events that exceeded the route's target.
 pub const STREAMS_LATE: Metric = Metric::counter(
     "flaxward_ingress_streams_late_total",
     "Streams with a pause between events that was longer than the route's target for it.",
 );
-/// Time that loads from the weight store took, seen by the coordinator that ordered them.
+/// Duration of loads from the weight store, as measured by the coordinator that ordered them.
 pub const STORE_LOAD_SECONDS: Metric = Metric::histogram(
     "flaxward_ingress_store_load_seconds",
     "Time that loads from the weight store took, seen by the coordinator that ordered them.",
 );
-/// Loads from the weight store that may be in flight, after each that was measured.
+/// Allowed concurrent loads from the weight store, after each measured load.
 pub const STORE_LOADS_ALLOWED: Metric = Metric::histogram(
     "flaxward_ingress_store_loads_allowed",
     "Loads from the weight store that may be in flight, after each that was measured.",
 );
-/// Versions of the configuration that came from another daemon and not from the store.
+/// Configuration versions received from another daemon instead of the store.
 pub const CONFIGURATIONS_FROM_PEERS: Metric = Metric::counter(
     "flaxward_ingress_configurations_from_peers_total",
     "Versions of the configuration that came from another daemon and not from the store.",
 );
-/// Units of quotas asked for, by `tenant` and `outcome`: `admitted`, `refused`, or `returned` by requests that did not run.
+/// Quota units requested, by `tenant` and `outcome`: `admitted`, `refused`, or `returned` by
+/// requests that did not run.
 pub const QUOTA_UNITS: Metric = Metric::counter(
     "flaxward_ingress_quota_units_total",
     "Units of quotas asked for, by `tenant` and `outcome`: `admitted`, `refused`, or `returned` by requests that did not run.",
 );
-/// Requests of this daemon that had just begun at a runner when it crashed.
+/// Requests of this daemon that had just started at a runner when it crashed.
 pub const RUNNER_CRASHES: Metric = Metric::counter(
     "flaxward_ingress_runner_crashes_total",
     "Requests of this daemon that had just begun at a runner when it crashed.",
 );
-/// Requests that this daemon has learnt to be in quarantine.
+/// Requests that became known to this daemon as quarantined.
 pub const REQUESTS_QUARANTINED: Metric = Metric::counter(
     "flaxward_ingress_requests_quarantined_total",
     "Requests that this daemon has learnt to be in quarantine.",
 );
-/// Times that the machine was found to have been suspended.
+/// Detected suspensions of the machine.
 pub const SUSPENSIONS: Metric = Metric::counter(
     "flaxward_ingress_suspensions_total",
     "Times that the machine was found to have been suspended.",
 );
-/// Calls to the store that have ended, by `call`, what it was for, and `outcome`.
+/// Completed calls to the store, by `call`, their purpose, and `outcome`.
 pub const STORE_CALLS: Metric = Metric::counter(
     "flaxward_ingress_store_calls_total",
     "Calls to the store that have ended, by `call`, what it was for, and `outcome`.",
 );
-/// Times that the store was found to have come back from a copy.
+/// Detected restores of the store from a backup.
 pub const STORE_RESTORES: Metric = Metric::counter(
     "flaxward_ingress_store_restores_total",
     "Times that the store was found to have come back from a copy.",
 );
-/// Reports that came from another life of a runner than the one that was asked, and so count for nothing.
+/// Reports from another incarnation of a runner than the one queried, which are ignored.
 pub const FOREIGN_REPORTS: Metric = Metric::counter(
     "flaxward_ingress_foreign_reports_total",
     "Reports that came from another life of a runner than the one that was asked, and so count for nothing.",
 );
-/// Objects of the store that could not be read, by `kind`; each revision of one counts once.
+/// Store objects that could not be decoded, by `kind`; each revision of one counts once.
 pub const ENTRIES_UNREADABLE: Metric = Metric::counter(
     "flaxward_ingress_entries_unreadable_total",
     "Objects of the store that could not be read, by `kind`; each revision of one counts once.",
 );
-/// Requests to cold runners for which a permit was asked, by `outcome`: `given`, `refused` or `unanswered`.
+/// Permit questions for requests to cold runners, by `outcome`: `given`, `refused` or `unanswered`.
 pub const PERMITS: Metric = Metric::counter(
     "flaxward_ingress_permits_total",
     "Requests to cold runners for which a permit was asked, by `outcome`: `given`, `refused` or `unanswered`.",
 );
-/// Times that a request waited because all runners that hold its model were cold and had no room.
-pub const ROOM_WAITS: Metric = Metric::counter(
+/// Waits of requests because all runners that hold their model were cold and at capacity.
+pub const CAPACITY_WAITS: Metric = Metric::counter(
     "flaxward_ingress_room_waits_total",
     "Times that a request waited because all runners that hold its model were cold and had no room.",
 );
-/// Bytes of messages sent to other daemons, by `kind`, what they are about.
+/// Bytes of messages sent to other daemons, by `kind`, their subject.
 pub const MESSAGE_BYTES: Metric = Metric::counter(
     "flaxward_ingress_message_bytes_total",
     "Bytes of messages sent to other daemons, by `kind`, what they are about.",
 );
-/// Times that an answer has told something new of its runner: that it leaves, rests, or takes a rate.
+/// Answers with a new notice of their runner: that it is leaving, rests, or limits its rate.
 pub const RUNNER_NOTICES: Metric = Metric::counter(
     "flaxward_ingress_runner_notices_total",
     "Times that an answer has told something new of its runner: that it leaves, rests, or takes a rate.",
--- a/crates/ingress/src/crashes.rs
+++ b/crates/ingress/src/crashes.rs
@@ -1,4 +1,4 @@
-//! Which request was at a runner when it crashed, and which requests are in quarantine for that.
+//! Attributes crashes of runners to requests, and tracks quarantined requests.
 
 use std::fmt::Display;
 use std::sync::Arc;
@@ -14,13 +14,18 @@
 use crate::exchange::ClientRequest;
 use crate::state::Shared;
 
-/// Time for which a request that broke off waits for the answer whether its runner has crashed, before it is sent to
-/// another one. A port at which nothing listens answers within the latency of the network.
-const CHECK_WAIT: Duration = Duration::from_millis(30);
+/// Time for which a broken request waits for the crash check before it is sent to another runner. A
+/// port without a listener refuses within one network round trip.
+const CRASH_CHECK_TIMEOUT: Duration = Duration::from_millis(30);
 
-/// Finds out whether a runner has crashed under a request that has just begun there and broke off, and counts it. A
-/// runner that only breaks connections still listens; one that leaves as planned may end with its last requests.
-pub(crate) async fn note_break(shared: &Arc<Shared>, request: &ClientRequest, runner: &Runner) {
+/// Checks whether a runner crashed under a request that had just started there and broke off, and
+/// records it. A runner that only breaks connections still listens; a draining one may exit with
+/// its last requests.
+pub(crate) async fn check_for_crash(
+    shared: &Arc<Shared>,
+    request: &ClientRequest,
+    runner: &Runner,
+) {
     if shared.settings.quarantine.crashes == 0 || is_leaving(shared, &runner.id) {
         return;
     }
@@ -37,20 +42,20 @@
             shared.report_run(report);
         }
     });
-    // The check goes on in the background if it takes longer.
-    let _ = timeout(CHECK_WAIT, check).await;
+    // The check continues in the background if it takes longer.
+    let _ = timeout(CRASH_CHECK_TIMEOUT, check).await;
 }
 
-/// Whether a runner drains or is no longer listed.
+/// Whether a runner is draining or no longer listed.
 fn is_leaving(shared: &Shared, runner: &RunnerId) -> bool {
     let tables = shared.tables();
     tables.runners.get(runner).is_none_or(|it| it.draining)
 }
 
-/// Waits until a request is in quarantine.
-pub(crate) async fn until_quarantined(shared: &Shared, request: &ClientRequest) {
+/// Waits until a request is quarantined.
+pub(crate) async fn wait_until_quarantined(shared: &Shared, request: &ClientRequest) {
     let mut changes = shared.quarantine_changes.subscribe();
-    while shared.quarantined_for(request).is_none() {
+    while shared.quarantine_remaining(request).is_none() {
         if changes.changed().await.is_err() {
             return std::future::pending().await;
         }
@@ -58,8 +63,8 @@
 }
 
 impl Shared {
-    /// Time for which a request is still in quarantine; `None` if it is in none.
-    pub(crate) fn quarantined_for(&self, request: &ClientRequest) -> Option<Duration> {
+    /// Remaining quarantine of a request; `None` if it is not quarantined.
+    pub(crate) fn quarantine_remaining(&self, request: &ClientRequest) -> Option<Duration> {
         if self.tables().quarantine.is_empty() {
             return None;
         }
@@ -67,8 +72,9 @@
         self.tables().quarantine.remaining(&fingerprint, self.now())
     }
 
-    /// A runner has answered a request whole. If runners have crashed under it, they did so for another reason.
-    pub(crate) fn note_completed(&self, request: &ClientRequest) {
+    /// Records that a runner has answered a request completely: earlier crashes under it had
+    /// another cause.
+    pub(crate) fn record_completed(&self, request: &ClientRequest) {
         if self.tables().quarantine.is_empty() {
             return;
         }
@@ -89,7 +95,7 @@
         self.log.write(self.now(), "runner-crashed", fields);
     }
 
-    /// Takes in a run of this daemon, and has the keepers told if it says something new.
+    /// Records a run of this daemon, and queues it for the keepers if it changes their state.
     fn report_run(&self, report: RunReport) {
         if self.record_run(&report) == Recorded::Unchanged {
             return;
@@ -100,7 +106,7 @@
         self.run_reported.notify_one();
     }
 
-    /// The runs of which the keepers are to be told since the last call.
+    /// Takes the run reports queued for the keepers since the last call.
     pub(crate) fn take_run_reports(&self) -> Vec<RunReport> {
         let reports = self.run_reports.lock();
         reports
@@ -108,12 +114,12 @@
             .unwrap_or_default()
     }
 
-    /// Takes in a run of some daemon.
+    /// Records a run of any daemon.
     pub(crate) fn record_run(&self, report: &RunReport) -> Recorded {
         let now = self.now();
         let recorded = self.tables().quarantine.record(report, now);
         match recorded {
-            Recorded::Quarantined => self.note_quarantined(&[report.fingerprint], "crashes"),
+            Recorded::Quarantined => self.log_quarantined(&[report.fingerprint], "crashes"),
             Recorded::Cleared => {
                 let fields: &[(&str, &dyn Display)] = &[("fingerprint", &report.fingerprint)];
                 self.log.write(now, "request-cleared", fields);
@@ -123,14 +129,14 @@
         recorded
     }
 
-    /// Takes in what others hold in quarantine; `source` tells who, for the log.
-    pub(crate) fn take_quarantine(&self, entries: &[QuarantineEntry], source: &str) {
+    /// Merges quarantine entries of others; `source` is logged.
+    pub(crate) fn merge_quarantine(&self, entries: &[QuarantineEntry], source: &str) {
         let now = self.now();
-        let news = self.tables().quarantine.merge(entries, now);
-        self.note_quarantined(&news, source);
+        let added = self.tables().quarantine.merge(entries, now);
+        self.log_quarantined(&added, source);
     }
 
-    fn note_quarantined(&self, fingerprints: &[RequestFingerprint], source: &str) {
+    fn log_quarantined(&self, fingerprints: &[RequestFingerprint], source: &str) {
         if fingerprints.is_empty() {
             return;
         }
--- a/crates/ingress/src/daemon.rs
+++ b/crates/ingress/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The ingress of one daemon, put together in one place.
+//! Wires up and runs the ingress of one daemon.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,37 +19,37 @@
 use crate::state::Shared;
 use crate::watches::{watch_configuration, watch_evacuations, watch_runners};
 
-/// Time after the order to stop in which new clients may still come: the entrance asks every second
-/// and leaves a daemon out after two misses.
-const NOTICE: Duration = Duration::from_millis(2_600);
-/// Part of the grace that is left unused, so that the process ends by itself.
+/// Time after the order to stop during which new clients are still accepted: the load balancer
+/// checks readiness every second and removes a daemon after two failed checks.
+const SHUTDOWN_NOTICE: Duration = Duration::from_millis(2_600);
+/// Part of the grace period kept in reserve, so that the process exits before it is killed.
 const GRACE_RESERVE: Duration = Duration::from_millis(350);
-/// Time for the final answers of requests that have not ended.
-const LAST_ANSWERS: Duration = Duration::from_millis(150);
-/// Time between looks at what is still in progress.
+/// Time to send final answers to requests that have not finished.
+const FINAL_ANSWER_TIME: Duration = Duration::from_millis(150);
+/// Interval between checks for requests in progress.
 const DRAIN_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A running ingress.
 pub struct Ingress {
-    /// Where clients reach it.
+    /// Address for clients.
     pub address: SocketAddr,
-    /// Where it is asked whether it is ready.
+    /// Address of the readiness endpoint.
     pub ready_address: SocketAddr,
-    /// Where other daemons reach it.
+    /// Address for other daemons.
     pub peer_address: SocketAddr,
     shared: Arc<Shared>,
     tracker: TaskTracker,
     clients_end: ClientsEnd,
 }
 
-/// Writes the counters as text.
+/// Renders the metrics as text.
 pub type RenderMetrics = Arc<dyn Fn() -> String + Send + Sync>;
 
 impl Ingress {
     /// Starts an ingress.
     ///
     /// # Errors
-    /// Fails if an address cannot be listened at.
+    /// Fails if an address cannot be bound.
     pub async fn start(
         settings: IngressSettings,
         surface: Arc<dyn Surface>,
@@ -87,7 +87,7 @@
             tracker.clone(),
             clients_end.clone(),
         );
-        // Tracked too, so that a stop waits for the connections that it takes last.
+        // Tracked too, so that a stop waits for the last accepted connections.
         tracker.spawn(client_server);
         let pages = TaskTracker::new();
         tokio::spawn(serve_readiness(shared.clone(), readiness, pages.clone()));
@@ -108,18 +108,18 @@
         })
     }
 
-    /// Stops as planned: is not ready any more, lets the requests in progress finish within the
-    /// grace, and takes those that still come.
+    /// Shuts down gracefully: reports not ready, still accepts late requests, and lets requests in
+    /// progress finish within the grace period.
     pub async fn stop(self) {
-        let begun = Instant::now();
+        let started = Instant::now();
         let grace = self.shared.settings.stop_grace;
-        let end = begun + grace.saturating_sub(GRACE_RESERVE);
+        let end = started + grace.saturating_sub(GRACE_RESERVE);
         self.shared.tables().stop_end = Some(end);
         self.shared.stopping.store(true, Ordering::Relaxed);
         self.shared.changed.notify_waiters();
         self.shared.demand.notify_one();
         state_change("stopping", &[("requests", &self.in_progress())]);
-        sleep_until((begun + NOTICE).min(end)).await;
+        sleep_until((started + SHUTDOWN_NOTICE).min(end)).await;
         self.shared.closing.store(true, Ordering::Relaxed);
         self.clients_end.closing.cancel();
         self.tracker.close();
@@ -129,12 +129,12 @@
         let left = self.in_progress();
         self.clients_end.closed.cancel();
         self.shared.ending.cancel();
-        let last = Instant::now() + LAST_ANSWERS;
+        let last = Instant::now() + FINAL_ANSWER_TIME;
         let _ = tokio::time::timeout_at(last, self.tracker.wait()).await;
         state_change("stopped", &[("requests_cut_off", &left)]);
     }
 
-    /// Requests in progress.
+    /// Number of requests in progress.
     pub fn in_progress(&self) -> u32 {
         self.shared.requests.load(Ordering::Relaxed)
     }
--- a/crates/ingress/src/decisions.rs
+++ b/crates/ingress/src/decisions.rs
@@ -9,7 +9,7 @@
 use flaxward_settings::logs::state_change;
 use flaxward_types::time::Timestamp;
 
-use crate::counters::LINES_LEFT_OUT;
+use crate::counters::LOG_LINES_DROPPED;
 
 /// Lines in a second at most.
 const LINES_A_SECOND: u32 = 200;
@@ -31,7 +31,7 @@
     /// Writes a line, unless too many were written in this second.
     pub(crate) fn write(&self, now: Timestamp, event: &str, fields: &[(&str, &dyn Display)]) {
         let Some(left_out) = self.admit(now) else {
-            metrics::counter!(LINES_LEFT_OUT.name).increment(1);
+            metrics::counter!(LOG_LINES_DROPPED.name).increment(1);
             return;
         };
         if left_out > 0 {
--- a/crates/ingress/src/exchange.rs
+++ b/crates/ingress/src/exchange.rs
@@ -176,7 +176,7 @@
         .judge(&request.profile.id, head.status, &head.headers);
     if matches!(kind, HeadKind::Answer | HeadKind::NotRun) {
         let notice = shared.surface.notice(head.status, &head.headers);
-        shared.heard_notice(&runner.id, notice, in_flight.sent_at());
+        shared.apply_notice(&runner.id, notice, in_flight.sent_at());
     }
     match kind {
         HeadKind::Answer if !is_encoded => {}
--- a/crates/ingress/src/handler.rs
+++ b/crates/ingress/src/handler.rs
@@ -113,7 +113,7 @@
         return Err(early(ResultCode::UnknownPath, &id, &reason));
     };
     let tenant = access::tenant(shared, &configuration, &route, &id, request.headers())?;
-    let bound_by = access::bound_by(shared, &configuration, request.headers());
+    let bound_by = access::restricting_tenant(shared, &configuration, request.headers());
     let homes = homes(&route, bound_by.as_deref());
     if homes.is_empty() {
         return Err(nowhere_at_home(&id, &route, bound_by.as_deref()));
--- a/crates/ingress/src/job.rs
+++ b/crates/ingress/src/job.rs
@@ -20,7 +20,7 @@
 
 use crate::answers::{self, AnswerBody};
 use crate::counters::{ATTEMPTS_FAILED, HEAD_SECONDS, SERVED};
-use crate::crashes::{note_break, until_quarantined};
+use crate::crashes::{check_for_crash, wait_until_quarantined};
 use crate::exchange::{
     ClientRequest, Continuation, Exchange, FailedAttempt, exchange, remove_connection_headers,
 };
@@ -28,7 +28,7 @@
 use crate::refused::{Details, RETRY_AFTER, Refused};
 use crate::relay::{self, StreamRelay};
 use crate::state::Shared;
-use crate::waiting::{wait_for_room, wait_for_unit};
+use crate::waiting::{wait_for_capacity, wait_for_unit};
 
 /// Longest answer without a stream that is held until it is whole.
 const HELD_ANSWER_BYTES: usize = 4 * 1024 * 1024;
@@ -102,7 +102,7 @@
         guard: Box<dyn Send>,
     ) -> Result<Response<AnswerBody>, Refused> {
         self.guard = Some(guard);
-        if self.shared.quarantined_for(&self.request).is_none() {
+        if self.shared.quarantine_remaining(&self.request).is_none() {
             self.count();
         }
         let ending = self.shared.ending.clone();
@@ -126,7 +126,7 @@
             if self.request.time_left() < LEAST_TIME {
                 return self.give_up("time is up");
             }
-            if let Some(remaining) = self.shared.quarantined_for(&self.request) {
+            if let Some(remaining) = self.shared.quarantine_remaining(&self.request) {
                 return self.quarantined(remaining);
             }
             let runner = match self.choose() {
@@ -162,7 +162,7 @@
                 }
             };
             let is_repeat = self.attempts.sent > 0;
-            if is_repeat && !self.shared.try_repeat(&self.service) {
+            if is_repeat && !self.shared.try_retry(&self.service) {
                 return self.give_up("the retry budget is spent");
             }
             self.is_sending = true;
@@ -178,7 +178,7 @@
                 Err(failed) => self.count_failure(&runner, failed, sent_at.elapsed()),
             }
             if self.last_failure == Some(Failure::Broken) {
-                note_break(&self.shared, &self.request, &runner).await;
+                check_for_crash(&self.shared, &self.request, &runner).await;
             }
             let max_attempts = self.route.max_attempts;
             if !self.attempts.may_retry(self.route.kind, max_attempts) {
@@ -222,7 +222,7 @@
         tokio::select! {
             waited = waiting => waited,
             // The next look tells the caller.
-            () = until_quarantined(&self.shared, &self.request) => Ok(()),
+            () = wait_until_quarantined(&self.shared, &self.request) => Ok(()),
         }
     }
 
@@ -248,11 +248,12 @@
     }
 
     async fn wait_for_room(&mut self, until: Timestamp) -> Result<(), Refusal> {
-        let waiting = wait_for_room(&self.shared, &self.request, &self.route, until, self.begun);
+        let waiting =
+            wait_for_capacity(&self.shared, &self.request, &self.route, until, self.begun);
         tokio::select! {
             waited = waiting => waited,
             // The next look tells the caller.
-            () = until_quarantined(&self.shared, &self.request) => Ok(()),
+            () = wait_until_quarantined(&self.shared, &self.request) => Ok(()),
         }
     }
 
@@ -413,7 +414,7 @@
         if let Some(connection) = connection {
             self.shared.pool.put(connection);
         }
-        self.shared.note_completed(&self.request);
+        self.shared.record_completed(&self.request);
         *response.body_mut() = answers::whole(bytes);
         let failed = response.status().is_server_error();
         if failed && self.may_replace_failure() {
--- a/crates/ingress/src/keeper_client.rs
+++ b/crates/ingress/src/keeper_client.rs
@@ -1,4 +1,4 @@
-//! Requests of this daemon for which a keeper is asked: of quotas, or of permits for cold runners.
+//! Client for questions to a keeper, of quotas or of permits for cold runners.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -6,7 +6,7 @@
 
 use tokio::sync::oneshot;
 
-/// Questions that are waited for, at most; older ones count as unanswered.
+/// Maximum number of pending questions; older ones count as unanswered.
 const MAX_WAITERS: u64 = 4_096;
 
 #[derive(Debug)]
@@ -16,7 +16,7 @@
     waiters: HashMap<u64, oneshot::Sender<Answer>>,
 }
 
-/// Numbers questions and brings answers to those who wait for them.
+/// Numbers questions and delivers answers to the waiting requests.
 #[derive(Debug)]
 pub(crate) struct KeeperClient<Question, Answer> {
     questions: Mutex<Questions<Question, Answer>>,
@@ -35,24 +35,24 @@
     }
 }
 
-/// A question that is waited for.
+/// A pending answer.
 #[derive(Debug)]
-pub(crate) struct Waited<Answer>(oneshot::Receiver<Answer>);
+pub(crate) struct PendingAnswer<Answer>(oneshot::Receiver<Answer>);
 
-impl<Answer> Waited<Answer> {
-    /// The keeper's answer; `None` if there will be none.
+impl<Answer> PendingAnswer<Answer> {
+    /// Waits for the keeper's answer; `None` if there will be none.
     pub(crate) async fn answer(self) -> Option<Answer> {
         self.0.await.ok()
     }
 }
 
 impl<Question, Answer> KeeperClient<Question, Answer> {
-    /// Has the keeper at an address asked; `question` gets the number of the question.
+    /// Queues a question for the keeper at an address; `question` builds it from its number.
     pub(crate) fn ask(
         &self,
         keeper: SocketAddr,
         question: impl FnOnce(u64) -> Question,
-    ) -> Waited<Answer> {
+    ) -> PendingAnswer<Answer> {
         let (sender, receiver) = oneshot::channel();
         let mut questions = self.lock();
         questions.last_number += 1;
@@ -63,18 +63,18 @@
         if let Some(old) = number.checked_sub(MAX_WAITERS) {
             questions.waiters.remove(&old);
         }
-        Waited(receiver)
+        PendingAnswer(receiver)
     }
 
-    /// Questions that were not sent yet, by keeper.
+    /// Takes the questions not sent yet, by keeper.
     pub(crate) fn take_unsent(&self) -> HashMap<SocketAddr, Vec<Question>> {
         std::mem::take(&mut self.lock().unsent)
     }
 
-    /// Brings an answer to the request that waits for it, if it still does.
+    /// Delivers an answer to the request that waits for it, if it still does.
     pub(crate) fn answer(&self, number: u64, answer: Answer) {
         if let Some(waiter) = self.lock().waiters.remove(&number) {
-            // The request may have waited no longer.
+            // The receiver is gone if the request has stopped waiting.
             let _ = waiter.send(answer);
         }
     }
--- a/crates/ingress/src/lib.rs
+++ b/crates/ingress/src/lib.rs
@@ -1,14 +1,15 @@
-//! The ingress: takes requests of clients, passes them to runners by the routes of the operators, and
-//! takes part in deciding what is loaded where.
+//! The ingress: accepts client requests, forwards them to runners along the operators' routes, and
+//! takes part in deciding which models are loaded where.
 //!
-//! Decisions stand in `flaxward-routing`; this crate holds the sockets. What the daemon speaks to the
-//! outside is behind the traits of [`outside`].
+//! Decision logic lives in `flaxward-routing`; this crate does the network I/O. External interfaces
+//! of the daemon are behind the traits of [`outside`].
 
 #![warn(clippy::pedantic)]
 #![allow(clippy::module_name_repetitions, clippy::must_use_candidate)]
 
 mod access;
 mod answers;
+mod cold_periods;
 mod coordination;
 mod counted_store;
 pub mod counters;
@@ -28,10 +29,9 @@
 mod relay;
 mod server;
 pub mod settings;
-mod spells;
 mod state;
 mod store_era;
-mod store_word;
+mod store_report;
 mod unreadable;
 mod usage;
 mod waiting;
--- a/crates/ingress/src/notices.rs
+++ b/crates/ingress/src/notices.rs
@@ -1,4 +1,4 @@
-//! What runners say of themselves in their answers: what this daemon takes in of it, and what the log tells.
+//! Records and logs the notices that runners attach to their answers.
 
 use std::collections::BTreeSet;
 use std::fmt::Display;
@@ -13,14 +13,14 @@
 use crate::state::Shared;
 
 impl Shared {
-    /// Takes in what an answer to a request that was sent at a time says of its runner.
-    pub(crate) fn heard_notice(&self, runner: &RunnerId, notice: RunnerNotice, sent_at: Timestamp) {
+    /// Applies the notice in an answer to a request that was sent at `sent_at`.
+    pub(crate) fn apply_notice(&self, runner: &RunnerId, notice: RunnerNotice, sent_at: Timestamp) {
         let now = self.now();
-        let is_news = self
+        let is_changed = self
             .tables()
             .notices
             .apply_answer(runner, notice, sent_at, now);
-        if !is_news {
+        if !is_changed {
             return;
         }
         metrics::counter!(RUNNER_NOTICES.name).increment(1);
@@ -28,51 +28,52 @@
         let fields: &[(&str, &dyn Display)] = &[
             ("runner", runner),
             ("leaves", &notice.leaves),
-            ("rate_limit", &text_of(notice.rate_limit)),
+            ("rate_limit", &format_rate(notice.rate_limit)),
             ("rest_ms", &rest),
             ("told_by", &"runner"),
         ];
         self.log.write(now, "runner-notice", fields);
-        self.untold_notices().insert(runner.clone());
+        self.unsent_notices().insert(runner.clone());
         self.keeper_wake.notify_one();
         self.changed.notify_waiters();
     }
 
-    /// Takes in what another daemon tells of a runner, in a message that came no earlier than at a time.
-    pub(crate) fn heard_shared_notice(
+    /// Merges a notice from another daemon, in a message that arrived no earlier than
+    /// `earliest_arrival`.
+    pub(crate) fn merge_shared_notice(
         &self,
-        told: &SharedNotice,
-        came_after: Timestamp,
+        notice: &SharedNotice,
+        earliest_arrival: Timestamp,
     ) -> NoticeUpdate {
         let now = self.now();
-        let heard = self.tables().notices.merge(told, came_after, now);
-        if heard != NoticeUpdate::Changed {
-            return heard;
+        let update = self.tables().notices.merge(notice, earliest_arrival, now);
+        if update != NoticeUpdate::Changed {
+            return update;
         }
-        let rate = told.rate.and_then(|it| it.rate_limit);
+        let rate = notice.rate.and_then(|it| it.rate_limit);
         let fields: &[(&str, &dyn Display)] = &[
-            ("runner", &told.runner),
-            ("leaves", &told.leaves),
-            ("rate_limit", &text_of(rate)),
+            ("runner", &notice.runner),
+            ("leaves", &notice.leaves),
+            ("rate_limit", &format_rate(rate)),
             ("told_by", &"daemon"),
         ];
         self.log.write(now, "runner-notice", fields);
         self.changed.notify_waiters();
-        heard
+        update
     }
 
-    /// Runners of which the coordinator was not told yet what answers have said.
-    pub(crate) fn take_untold_notices(&self) -> BTreeSet<RunnerId> {
-        std::mem::take(&mut *self.untold_notices())
+    /// Takes the runners whose latest notices have not been sent to the coordinator yet.
+    pub(crate) fn take_unsent_notices(&self) -> BTreeSet<RunnerId> {
+        std::mem::take(&mut *self.unsent_notices())
     }
 
-    fn untold_notices(&self) -> std::sync::MutexGuard<'_, BTreeSet<RunnerId>> {
-        self.untold_notices
+    fn unsent_notices(&self) -> std::sync::MutexGuard<'_, BTreeSet<RunnerId>> {
+        self.unsent_notices
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-fn text_of(rate: Option<RequestRate>) -> String {
+fn format_rate(rate: Option<RequestRate>) -> String {
     rate.map_or("none".to_owned(), |rate| rate.to_string())
 }
--- a/crates/ingress/src/peer.rs
+++ b/crates/ingress/src/peer.rs
@@ -14,8 +14,7 @@
 use tokio::net::UdpSocket;
 
 use crate::counters::{
-    MESSAGE_BYTES, MESSAGES_FORWARDED, MESSAGES_MALFORMED, MESSAGES_NOT_SENT,
-    MESSAGES_OF_EARLIER_BUILDS,
+    LEGACY_MESSAGES, MESSAGE_BYTES, MESSAGES_FORWARDED, MESSAGES_MALFORMED, MESSAGES_NOT_SENT,
 };
 
 /// Longest datagram that is read, in bytes.
@@ -112,7 +111,7 @@
         if let Ok(Received::Arrival(arrival)) = &received
             && arrival.is_from_earlier_build
         {
-            metrics::counter!(MESSAGES_OF_EARLIER_BUILDS.name).increment(1);
+            metrics::counter!(LEGACY_MESSAGES.name).increment(1);
         }
         received.map(Some).map_err(|error| {
             metrics::counter!(MESSAGES_MALFORMED.name).increment(1);
--- a/crates/ingress/src/permits.rs
+++ b/crates/ingress/src/permits.rs
@@ -1,4 +1,4 @@
-//! Permits for requests to runners that are cold or name a rate, as the requests of this daemon need and get them.
+//! Obtains permits for requests to runners that are cold or announce a rate limit.
 
 use std::fmt::Display;
 use std::sync::atomic::Ordering;
@@ -15,26 +15,29 @@
 use crate::exchange::ClientRequest;
 use crate::state::Shared;
 
-/// Longest time for an answer of the keeper: a message each way, and the longest plan of a coordinator.
-const ANSWER_TIME: Duration = Duration::from_millis(80);
-/// Pause before a runner is asked for again if the keeper has not answered, or none is heard.
+/// Timeout for an answer of the keeper: a message each way, and the longest planning round of a
+/// coordinator.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(80);
+/// Pause before the next permit question for a runner if the keeper did not answer or none is
+/// known.
 const NO_ANSWER_PAUSE: Duration = Duration::from_millis(250);
-/// Shortest pause before a runner is asked for again, which bounds what a waiting request costs.
-const LEAST_PAUSE: Duration = Duration::from_millis(30);
+/// Minimum pause before the next permit question for a runner, which bounds the cost of a waiting
+/// request.
+const MIN_PAUSE: Duration = Duration::from_millis(30);
 
-/// One request may be sent to one runner.
+/// Permission to send one request to one runner.
 #[derive(Clone, Debug)]
 pub(crate) struct Permit {
     runner: RunnerId,
     ends_at: Timestamp,
 }
 
-/// What a request needs before it is sent to a runner.
+/// Admission of a request to a runner.
 #[derive(Clone, Debug)]
 pub(crate) enum Admission {
-    /// Nothing bounds what the runner gets.
+    /// The runner is not limited.
     Free,
-    /// The keeper allows it.
+    /// The keeper has granted a permit.
     Permitted(Permit),
 }
 
@@ -51,20 +54,20 @@
     fn needs_permit(&self, runner: &Runner) -> bool {
         let tables = self.tables();
         let is_limited = tables.notices.rate_limit(&runner.id).is_some();
-        let is_cold = tables.spells.is_cold(&runner.id, self.now());
+        let is_cold = tables.cold_periods.is_cold(&runner.id, self.now());
         drop(tables);
         is_limited || (is_cold && self.cold_bound(&runner.service).is_some())
     }
 
-    /// Whether a request may be sent to a runner at this moment.
+    /// Whether a request may be sent to a runner now.
     pub(crate) fn may_send(&self, runner: &Runner, admission: &Admission) -> bool {
         let now = self.now();
         let tables = self.tables();
         let notices = &tables.notices;
-        let wants_nothing =
+        let is_unavailable =
             notices.is_leaving(&runner.id) || notices.rests_until(&runner.id, now).is_some();
         drop(tables);
-        if wants_nothing {
+        if is_unavailable {
             return false;
         }
         if !self.needs_permit(runner) {
@@ -79,10 +82,10 @@
     }
 }
 
-/// Gets what a request needs before it is sent to a runner.
+/// Obtains the admission of a request to a runner.
 ///
 /// # Errors
-/// Tells when there may be a permit, if there is none now.
+/// Returns when a permit may be available, if there is none now.
 pub(crate) async fn admit(
     shared: &Shared,
     request: &ClientRequest,
@@ -102,23 +105,23 @@
             ("given", Ok(Admission::Permitted(permit)))
         }
         Some(PermitDecision::Refused { room_in_ms }) => {
-            let room_in = Duration::from_millis(u64::from(room_in_ms));
-            ("refused", Err(room_in))
+            let available_in = Duration::from_millis(u64::from(room_in_ms));
+            ("refused", Err(available_in))
         }
         None => ("unanswered", Err(NO_ANSWER_PAUSE)),
     };
     metrics::counter!(PERMITS.name, "outcome" => outcome).increment(1);
-    decided.map_err(|room_in| {
-        let room_at = room_at(shared, runner, room_in);
-        log_no_permit(shared, request, runner, outcome, room_at);
-        room_at
+    decided.map_err(|available_in| {
+        let available_at = available_at(shared, runner, available_in);
+        log_no_permit(shared, request, runner, outcome, available_at);
+        available_at
     })
 }
 
-/// The same for a request that waits for its permit until an instant.
+/// Like [`admit`], but waits for a permit until `latest`.
 ///
 /// # Errors
-/// Tells when there may be a permit, if that is later.
+/// Returns when a permit may be available, if that is later than `latest`.
 pub(crate) async fn admit_until(
     shared: &Shared,
     request: &ClientRequest,
@@ -126,32 +129,36 @@
     latest: Instant,
 ) -> Result<Admission, Timestamp> {
     loop {
-        let room_at = match admit(shared, request, runner).await {
+        let available_at = match admit(shared, request, runner).await {
             Ok(admission) => return Ok(admission),
-            Err(room_at) => room_at,
+            Err(available_at) => available_at,
         };
-        let wake_at = shared.clock.instant(room_at);
+        let wake_at = shared.clock.instant(available_at);
         if wake_at >= latest {
-            return Err(room_at);
+            return Err(available_at);
         }
         sleep_until(wake_at).await;
     }
 }
 
-/// When a request that got no permit asks again: when the keeper has said, or when the runner needs none because it is warm.
-fn room_at(shared: &Shared, runner: &Runner, room_in: Duration) -> Timestamp {
+/// When a request without a permit asks again: at the time that the keeper gave, or when the runner
+/// needs none because it is warm.
+fn available_at(shared: &Shared, runner: &Runner, available_in: Duration) -> Timestamp {
     let now = shared.now();
     let tables = shared.tables();
     let is_limited = tables.notices.rate_limit(&runner.id).is_some();
-    let end = tables.spells.ends_at(&runner.id).filter(|_| !is_limited);
+    let end = tables
+        .cold_periods
+        .ends_at(&runner.id)
+        .filter(|_| !is_limited);
     drop(tables);
-    let room_at = now + room_in;
-    let room_at = end.map_or(room_at, |end| room_at.min(end));
-    room_at.max(now + LEAST_PAUSE)
+    let available_at = now + available_in;
+    let available_at = end.map_or(available_at, |end| available_at.min(end));
+    available_at.max(now + MIN_PAUSE)
 }
 
 async fn ask(shared: &Shared, request: &ClientRequest, runner: &Runner) -> Option<PermitDecision> {
-    if !shared.hears_coordinator.load(Ordering::Relaxed) {
+    if !shared.has_coordinator.load(Ordering::Relaxed) {
         return None;
     }
     let keeper = shared.tables().permit_keeper?;
@@ -163,7 +170,10 @@
             rank: request.priority,
         });
     shared.keeper_wake.notify_one();
-    timeout(ANSWER_TIME, question.answer()).await.ok().flatten()
+    timeout(ANSWER_TIMEOUT, question.answer())
+        .await
+        .ok()
+        .flatten()
 }
 
 fn log_no_permit(
@@ -171,7 +181,7 @@
     request: &ClientRequest,
     runner: &Runner,
     outcome: &str,
-    room_at: Timestamp,
+    available_at: Timestamp,
 ) {
     let now = shared.now();
     let fields: &[(&str, &dyn Display)] = &[
@@ -179,7 +189,7 @@
         ("runner", &runner.id),
         ("outcome", &outcome),
         ("rank", &request.priority),
-        ("room_in_ms", &room_at.since(now).as_millis()),
+        ("room_in_ms", &available_at.since(now).as_millis()),
     ];
     shared.log.write(now, "no-permit", fields);
 }
--- a/crates/ingress/src/relay.rs
+++ b/crates/ingress/src/relay.rs
@@ -19,7 +19,7 @@
 
 use crate::answers::AnswerBody;
 use crate::counters::{STREAMS_BROKEN, STREAMS_LATE, STREAMS_RESUMED};
-use crate::crashes::note_break;
+use crate::crashes::check_for_crash;
 use crate::exchange::{ClientRequest, Continuation, Exchange, FailedAttempt, exchange};
 use crate::permits::{Admission, admit_until};
 use crate::state::Shared;
@@ -187,7 +187,7 @@
     }
 
     fn is_quarantined(&self) -> bool {
-        self.shared.quarantined_for(&self.request).is_some()
+        self.shared.quarantine_remaining(&self.request).is_some()
     }
 
     fn may_resume(&self) -> bool {
@@ -235,7 +235,7 @@
         }
         if let Some(exchange) = self.exchange.take() {
             self.log_gap(&exchange.runner.id);
-            self.shared.note_completed(&self.request);
+            self.shared.record_completed(&self.request);
             self.shared
                 .observe(&exchange.runner.id, Observation::Success);
             if let Some(connection) = exchange.connection {
@@ -267,7 +267,7 @@
         }
         self.attempts.record_failure(failure);
         if has_just_begun && let Some(exchange) = &present {
-            note_break(&self.shared, &self.request, &exchange.runner).await;
+            check_for_crash(&self.shared, &self.request, &exchange.runner).await;
         }
         drop(present);
         self.go_on().await
@@ -287,7 +287,7 @@
             if self.is_quarantined() {
                 return Err(self.given_up(RelayError::Broken, "it is in quarantine"));
             }
-            if !self.shared.try_repeat(&self.service) {
+            if !self.shared.try_retry(&self.service) {
                 return Err(self.given_up(RelayError::Broken, "the retry budget is spent"));
             }
             if self.try_continue().await? {
@@ -305,7 +305,7 @@
             self.wait_again(silent);
             return Ok(());
         };
-        if self.is_quarantined() || !self.shared.try_repeat(&self.service) {
+        if self.is_quarantined() || !self.shared.try_retry(&self.service) {
             self.wait_again(silent);
             return Ok(());
         }
--- a/crates/ingress/src/settings.rs
+++ b/crates/ingress/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the ingress, as the daemon's settings file gives them.
+//! Settings of the ingress, as given in the daemon's settings file.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,12 +14,13 @@
 use flaxward_routing::quarantine::QuarantineSettings;
 use flaxward_routing::strength::MachineStrength;
 
-/// For how long after its configuration was surely the newest a daemon relies on it for keys; `None` for ever.
+/// For how long after its configuration was last confirmed as the newest a daemon relies on it to
+/// check keys; `None` means without limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct KeyTrust {
-    /// For keys that it holds, which may have been taken away.
+    /// For keys in the configuration, which may have been revoked since.
     pub known: Option<Duration>,
-    /// For keys that it does not hold, which may have been added.
+    /// For keys not in the configuration, which may have been added since.
     pub unknown: Option<Duration>,
 }
 
@@ -28,38 +29,40 @@
 pub struct IngressSettings {
     /// Name of the daemon.
     pub name: String,
-    /// What its clock goes by.
+    /// Time source of its clock.
     pub time: Arc<dyn TimeSource>,
     /// Its zone.
     pub zone: Zone,
-    /// The region of each zone; those that are not told count as near, and as nobody's home.
+    /// The region of each zone. Zones without an entry count as near, and are in no home region.
     pub regions: Regions,
-    /// Where clients reach it.
+    /// Listen address for clients.
     pub listen: SocketAddr,
-    /// Where it is asked whether it is ready.
+    /// Listen address of the readiness endpoint.
     pub ready_listen: SocketAddr,
-    /// Where other daemons reach it, by UDP.
+    /// UDP listen address for other daemons.
     pub peer_listen: SocketAddr,
-    /// Where its counters are read, if anywhere.
+    /// Listen address of the metrics endpoint, if any.
     pub metrics_listen: Option<SocketAddr>,
-    /// The machine.
+    /// Capacity of the machine.
     pub strength: MachineStrength,
-    /// Time within which a change of the store must be known.
-    pub news_bound: Duration,
-    /// Time within which the evacuation of a zone must be followed; `None` if the operators evacuate no zones.
+    /// Time within which a change in the store must reach this daemon.
+    pub propagation_bound: Duration,
+    /// Time within which the evacuation of a zone must take effect; `None` if the operators
+    /// evacuate no zones.
     pub evacuation_bound: Option<Duration>,
-    /// How far requests of all daemons may pass what cold runners bear; `None` if nothing bounds them.
+    /// How far requests of all daemons may exceed the rate that cold runners sustain; `None` for no
+    /// limit.
     pub cold_runners: Option<ColdRunnerSettings>,
-    /// For how long keys are relied on.
+    /// Limits on relying on keys without confirmation.
     pub key_trust: KeyTrust,
-    /// Time from the order to stop until it must have ended.
+    /// Grace period from the order to stop until the process must have ended.
     pub stop_grace: Duration,
-    /// The budget for sending requests again.
+    /// Retry budget.
     pub retry_budget: RetryBudgetSettings,
-    /// When requests that crash runners are not sent any more.
+    /// When requests that crash runners are quarantined.
     pub quarantine: QuarantineSettings,
-    /// The lease of the coordinator.
+    /// Lease of the coordinator.
     pub lease: LeaseSettings,
-    /// The placement of models.
+    /// Placement of models.
     pub placement: PlacementSettings,
 }
--- a/crates/ingress/src/state.rs
+++ b/crates/ingress/src/state.rs
@@ -1,4 +1,4 @@
-//! What the tasks of one daemon share.
+//! State shared by the tasks of one daemon.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -39,21 +39,21 @@
 use crate::outside::{ClusterStore, RunnerControl, Surface};
 use crate::pool::Pool;
 use crate::settings::IngressSettings;
-use crate::store_word::StoreWord;
+use crate::store_report::StoreReport;
 use crate::unreadable::UnreadableLog;
-use crate::usage::{Running, UseLog, Waiting};
+use crate::usage::{Running, UsageLog, Waiting};
 
-/// Daemons that are assumed while the coordinator has not told their number.
+/// Number of daemons assumed until the coordinator has announced it.
 const ASSUMED_DAEMONS: usize = 12;
 
-/// When a unit that requests wait for is ready, as the coordinator has said.
+/// The coordinator's estimate of when a unit that requests wait for is ready.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Outlook {
+pub(crate) struct ReadinessEstimate {
     pub ready_at: Timestamp,
-    pub told_at: Timestamp,
+    pub received_at: Timestamp,
 }
 
-/// What changes while the daemon runs.
+/// Mutable state of the daemon.
 #[derive(Debug)]
 pub(crate) struct Tables {
     pub configuration: Option<Arc<Configuration>>,
@@ -61,37 +61,38 @@
     pub quota: QuotaMeter,
     pub runners: RunnerTable,
     pub runners_known: bool,
-    /// Which runners are cold.
-    pub spells: ColdPeriods,
-    /// Whom requests for cold runners ask: the coordinator.
+    /// Cold periods of the runners.
+    pub cold_periods: ColdPeriods,
+    /// The coordinator, which grants permits for cold runners.
     pub permit_keeper: Option<SocketAddr>,
-    /// Some pages of the list of runners were read.
+    /// At least one page of the list of runners has been read.
     pub has_first_page: bool,
     pub evacuations: Evacuations,
-    /// The era of the store's answers, as it began for this daemon; `None` before the first.
+    /// The current era of the store as this daemon first observed it; `None` before the first
+    /// answer.
     pub store_era: Option<EraStart>,
-    /// When it was last seen to have risen.
+    /// When the era was last observed to rise.
     pub restored_at: Option<Timestamp>,
     pub health: HealthTable,
-    /// What runners have said of themselves in their answers.
+    /// State that runners reported about themselves in their answers.
     pub notices: Notices,
     pub in_flight: HashMap<RunnerId, u32>,
-    /// Requests of all daemons at runners that are filling up.
+    /// Requests of all daemons at runners that approach saturation.
     pub loads: HashMap<RunnerId, u32>,
     pub running: Running,
-    pub uses: UseLog,
+    pub uses: UsageLog,
     pub budget: RetryBudget,
     pub quarantine: Quarantine,
     pub splits: SplitChooser,
     pub waiting: HashMap<Requirement, Waiting>,
-    pub outlooks: HashMap<Requirement, Outlook>,
+    pub readiness_estimates: HashMap<Requirement, ReadinessEstimate>,
     pub daemons: usize,
-    /// When this daemon has stopped at the latest, once it is told to stop.
+    /// Latest time at which this daemon has stopped, once it is ordered to stop.
     pub stop_end: Option<Instant>,
     pub store_trust: StoreTrust,
 }
 
-/// Shared by all tasks of the daemon.
+/// State shared by all tasks of the daemon.
 pub(crate) struct Shared {
     pub locality: Locality,
     pub settings: IngressSettings,
@@ -101,41 +102,42 @@
     pub control: Arc<dyn RunnerControl>,
     pub pool: Pool,
     pub log: DecisionLog,
-    /// Objects of the store that were logged as unreadable.
+    /// Store objects already logged as unreadable.
     pub unreadable: UnreadableLog,
-    /// Woken when the tables have changed in a way that a waiting request can use.
+    /// Notified when the tables change in a way that may unblock a waiting request.
     pub changed: Notify,
-    /// Woken when a request begins to wait for a unit.
+    /// Notified when a request starts to wait for a unit.
     pub demand: Notify,
-    /// Requests for which the keeper of quotas is asked.
+    /// Questions to the keeper of quotas.
     pub quota_questions: KeeperClient<QuotaQuestion, Grant>,
-    /// Requests for which the keeper of permits is asked.
+    /// Questions to the keeper of permits.
     pub permit_questions: KeeperClient<PermitQuestion, PermitDecision>,
-    /// Runners of which the coordinator was not told yet what answers have said.
-    pub untold_notices: Mutex<BTreeSet<RunnerId>>,
-    /// Woken when a keeper of quotas or permits, or the coordinator, is to be told or asked something.
+    /// Runners whose latest notices have not been sent to the coordinator yet.
+    pub unsent_notices: Mutex<BTreeSet<RunnerId>>,
+    /// Notified when there is something to send to a keeper of quotas or permits, or to the
+    /// coordinator.
     pub keeper_wake: Notify,
-    /// Runs of which the keepers of the quarantine were not told yet.
+    /// Run reports not sent to the keepers of the quarantine yet.
     pub run_reports: Mutex<Vec<RunReport>>,
-    /// Woken when there is one more.
+    /// Notified when a run report is added.
     pub run_reported: Notify,
-    /// Rises when a request is put in quarantine.
+    /// Incremented when a request is quarantined.
     pub quarantine_changes: watch::Sender<u64>,
-    /// Woken when a daemon that has told of a newer configuration is to be asked for it.
+    /// Notified when a peer that announced a newer configuration is to be asked for it.
     pub configuration_wanted: Notify,
     pub stopping: AtomicBool,
-    /// The notice of a stop is over: no request is taken any more.
+    /// The shutdown notice has elapsed: no new requests are accepted.
     pub closing: AtomicBool,
-    /// The process ends at once: requests get their final answers.
+    /// The process is about to exit: requests get their final answers.
     pub ending: CancellationToken,
-    /// A coordinator was heard lately.
-    pub hears_coordinator: AtomicBool,
-    /// What the coordinator says of the store, and until when that stands.
-    pub store_word: watch::Sender<StoreWord>,
-    /// When the store last answered this daemon, in ms of its clock.
-    pub store_seen_ms: AtomicU64,
-    /// Rises when calls to the store that hang must be made again.
-    pub store_restarts: watch::Sender<u64>,
+    /// A coordinator has sent a message recently.
+    pub has_coordinator: AtomicBool,
+    /// The coordinator's report on the store, and until when it is valid.
+    pub store_report: watch::Sender<StoreReport>,
+    /// When the store last answered this daemon, in ms of the daemon's clock.
+    pub store_answered_ms: AtomicU64,
+    /// Incremented when pending watches of the store must be restarted.
+    pub watch_restarts: watch::Sender<u64>,
     pub requests: AtomicU32,
     pub seed: u64,
     tables: Mutex<Tables>,
@@ -155,7 +157,7 @@
             quota: QuotaMeter::new(seed, ASSUMED_DAEMONS),
             runners: RunnerTable::default(),
             runners_known: false,
-            spells: ColdPeriods::default(),
+            cold_periods: ColdPeriods::default(),
             permit_keeper: None,
             has_first_page: false,
             evacuations: Evacuations::default(),
@@ -166,15 +168,15 @@
             in_flight: HashMap::new(),
             loads: HashMap::new(),
             running: Running::default(),
-            uses: UseLog::default(),
+            uses: UsageLog::default(),
             budget: RetryBudget::new(settings.retry_budget),
             quarantine: Quarantine::new(settings.quarantine),
             splits: SplitChooser::default(),
             waiting: HashMap::new(),
-            outlooks: HashMap::new(),
+            readiness_estimates: HashMap::new(),
             daemons: ASSUMED_DAEMONS,
             stop_end: None,
-            store_trust: StoreTrust::new(settings.news_bound, seed),
+            store_trust: StoreTrust::new(settings.propagation_bound, seed),
         };
         let locality = Locality::new(settings.zone.clone(), settings.regions.clone());
         Self {
@@ -191,7 +193,7 @@
             demand: Notify::new(),
             quota_questions: KeeperClient::default(),
             permit_questions: KeeperClient::default(),
-            untold_notices: Mutex::default(),
+            unsent_notices: Mutex::default(),
             keeper_wake: Notify::new(),
             run_reports: Mutex::default(),
             run_reported: Notify::new(),
@@ -200,17 +202,17 @@
             stopping: AtomicBool::new(false),
             closing: AtomicBool::new(false),
             ending: CancellationToken::new(),
-            hears_coordinator: AtomicBool::new(false),
-            store_word: watch::Sender::new(StoreWord::default()),
-            store_seen_ms: AtomicU64::new(0),
-            store_restarts: watch::Sender::new(0),
+            has_coordinator: AtomicBool::new(false),
+            store_report: watch::Sender::new(StoreReport::default()),
+            store_answered_ms: AtomicU64::new(0),
+            watch_restarts: watch::Sender::new(0),
             requests: AtomicU32::new(0),
             seed,
             tables: Mutex::new(tables),
         }
     }
 
-    /// The tables. They are never held across a wait.
+    /// Locks the tables. The lock must not be held across an await.
     pub(crate) fn tables(&self) -> MutexGuard<'_, Tables> {
         self.tables
             .lock()
@@ -229,23 +231,24 @@
         self.closing.load(Ordering::Relaxed)
     }
 
-    /// Notes that the store has answered.
-    pub(crate) fn note_store_seen(&self) {
-        self.store_seen_ms.store(self.now().0, Ordering::Relaxed);
+    /// Records that the store has answered.
+    pub(crate) fn record_store_answer(&self) {
+        self.store_answered_ms
+            .store(self.now().0, Ordering::Relaxed);
     }
 
     /// Time since the store last answered.
     pub(crate) fn store_silence(&self) -> Duration {
-        let seen = Timestamp(self.store_seen_ms.load(Ordering::Relaxed));
+        let seen = Timestamp(self.store_answered_ms.load(Ordering::Relaxed));
         self.now().since(seen)
     }
 
-    /// Has the watches of the store made again, because the present ones may never be answered.
+    /// Restarts the watches of the store, because the present ones may never be answered.
     pub(crate) fn restart_watches(&self) {
-        self.store_restarts.send_modify(|restarts| *restarts += 1);
+        self.watch_restarts.send_modify(|restarts| *restarts += 1);
     }
 
-    /// Whether new clients may come.
+    /// Whether the daemon is ready for new clients.
     pub(crate) fn is_ready(&self) -> bool {
         let tables = self.tables();
         let Some(configuration) = tables.configuration.clone() else {
@@ -253,29 +256,32 @@
         };
         let knows_runners = tables.runners_known || tables.has_runners_of_all(&configuration);
         drop(tables);
-        // Clients with keys fare better at another daemon.
+        // A daemon that can't verify keys reports not ready, so that clients with keys go to
+        // another one.
         let can_admit = configuration.tenants().is_empty()
             || self.is_configuration_within(self.settings.key_trust.known);
         !self.is_stopping() && knows_runners && can_admit
     }
 
-    /// Time since the configuration in force here was surely the newest; `None` if it never was.
+    /// Time since the configuration in force here was last confirmed as the newest; `None` if it
+    /// never was.
     pub(crate) fn configuration_age(&self) -> Option<Duration> {
         let now = self.now();
         self.tables().configuration_age.age(now)
     }
 
-    /// Whether the configuration in force here was surely the newest within a time; `None` asks for nothing.
+    /// Whether the configuration in force here was confirmed as the newest within `bound`; always
+    /// true for `None`.
     pub(crate) fn is_configuration_within(&self, bound: Option<Duration>) -> bool {
         bound.is_none_or(|bound| self.configuration_age().is_some_and(|age| age < bound))
     }
 
-    /// How many daemons there are, as far as is known.
+    /// Number of daemons, as far as is known.
     pub(crate) fn daemons(&self) -> u32 {
         u32::try_from(self.tables().daemons).unwrap_or(u32::MAX)
     }
 
-    /// Sets how many daemons there are.
+    /// Sets the number of daemons.
     pub(crate) fn set_daemons(&self, daemons: u32) {
         let daemons = usize::try_from(daemons).unwrap_or(usize::MAX).max(1);
         let mut tables = self.tables();
@@ -287,13 +293,13 @@
         self.tables().configuration.clone()
     }
 
-    /// The store's revision of the list of runners, if it was read.
-    pub(crate) fn known_runners(&self) -> Option<u64> {
+    /// The store's revision of the list of runners, if the list has been read.
+    pub(crate) fn known_runners_revision(&self) -> Option<u64> {
         let tables = self.tables();
         tables.runners_known.then(|| tables.runners.revision())
     }
 
-    /// The service for a request of a route that may be served within some homes.
+    /// Chooses the service for a request of a route that is restricted to home regions.
     pub(crate) fn choose_service(&self, route: &Route, homes: &Homes) -> Option<ServiceName> {
         let seed = self.seed;
         let mut tables = self.tables();
@@ -310,20 +316,20 @@
             notices,
             locality: &self.locality,
         };
-        let is_at_home = |service: &ServiceName| {
+        let is_available_at_home = |service: &ServiceName| {
             let mut usable = availability.usable(service);
             usable.any(|runner| availability.is_in_home_region(runner, homes))
         };
-        splits.choose(route, homes, is_at_home, seed)
+        splits.choose(route, homes, is_available_at_home, seed)
     }
 
-    /// The runner for a request.
-    pub(crate) fn choose(&self, wanted: &SelectionCriteria<'_>) -> Result<Runner, NoRunner> {
+    /// Chooses the runner for a request.
+    pub(crate) fn choose(&self, criteria: &SelectionCriteria<'_>) -> Result<Runner, NoRunner> {
         let now = self.now();
         let tables = self.tables();
-        let situation = SelectionContext {
+        let context = SelectionContext {
             availability: tables.availability(&self.locality),
-            spells: &tables.spells,
+            spells: &tables.cold_periods,
             health: &tables.health,
             in_flight: &tables.in_flight,
             loads: &tables.loads,
@@ -331,10 +337,10 @@
             random: rand::random(),
             now,
         };
-        balance::choose(&situation, wanted).cloned()
+        balance::choose(&context, criteria).cloned()
     }
 
-    /// Takes in how an attempt ended, and logs it if the runner is now left alone.
+    /// Records the outcome of an attempt, and logs if it causes the runner to be ejected.
     pub(crate) fn observe(&self, runner: &RunnerId, observation: Observation) {
         let now = self.now();
         let ejection = self.tables().health.observe(runner, observation, now);
@@ -349,28 +355,30 @@
         }
     }
 
-    /// Spends one repeat of the budget, if there is one.
-    pub(crate) fn try_repeat(&self, service: &ServiceName) -> bool {
+    /// Spends one retry of the budget, if one is left.
+    pub(crate) fn try_retry(&self, service: &ServiceName) -> bool {
         let now = self.now();
         let mut tables = self.tables();
         let daemons = tables.daemons;
         tables.budget.try_retry(service, now, daemons)
     }
 
-    /// Takes in outlooks of the coordinator.
-    pub(crate) fn tell_outlooks(&self, outlooks: Vec<UnitOutlook>) {
-        if outlooks.is_empty() {
+    /// Applies readiness estimates of the coordinator.
+    pub(crate) fn apply_readiness_estimates(&self, estimates: Vec<UnitOutlook>) {
+        if estimates.is_empty() {
             return;
         }
         let now = self.now();
         let mut tables = self.tables();
-        for outlook in outlooks {
-            let wait = Duration::from_millis(u64::from(outlook.ready_in_ms));
-            let outlook_at = Outlook {
+        for estimate in estimates {
+            let wait = Duration::from_millis(u64::from(estimate.ready_in_ms));
+            let received = ReadinessEstimate {
                 ready_at: now + wait,
-                told_at: now,
+                received_at: now,
             };
-            tables.outlooks.insert(outlook.requirement, outlook_at);
+            tables
+                .readiness_estimates
+                .insert(estimate.requirement, received);
         }
         drop(tables);
         self.changed.notify_waiters();
@@ -378,7 +386,7 @@
 }
 
 impl Tables {
-    /// Which runners may get requests.
+    /// The availability of runners for requests.
     pub(crate) fn availability<'a>(&'a self, locality: &'a Locality) -> Availability<'a> {
         Availability {
             runners: &self.runners,
@@ -388,7 +396,7 @@
         }
     }
 
-    /// Whether the pages that were read hold a runner of each service.
+    /// Whether the pages read so far hold a runner of each service.
     fn has_runners_of_all(&self, configuration: &Configuration) -> bool {
         let has_runner = |service: &Arc<Service>| {
             let mut runners = self.runners.of_service(&service.name);
@@ -397,15 +405,15 @@
         self.has_first_page && configuration.services().all(has_runner)
     }
 
-    /// Drops what is kept about runners that are gone.
-    pub(crate) fn forget_gone_runners(&mut self) {
+    /// Drops the state of runners that are no longer listed.
+    pub(crate) fn drop_removed_runners(&mut self) {
         let runners = &self.runners;
         self.health.retain(|id| runners.get(id).is_some());
         self.notices.retain(|id| runners.get(id).is_some());
     }
 }
 
-/// Counts a request at a runner for as long as it lives.
+/// Counts a request as in flight at a runner until dropped.
 pub(crate) struct InFlight {
     shared: Arc<Shared>,
     runner: RunnerId,
@@ -429,8 +437,8 @@
         }
     }
 
-    /// When the request was sent to the runner, by the clock that counts suspension: what an answer says of its runner is as
-    /// old as this at most.
+    /// When the request was sent to the runner, by the clock that includes suspensions of the
+    /// machine. A notice in the answer is no older than this.
     pub(crate) fn sent_at(&self) -> Timestamp {
         self.sent_at
     }
--- a/crates/ingress/src/store_era.rs
+++ b/crates/ingress/src/store_era.rs
@@ -1,5 +1,5 @@
-//! Notices that the store has come back from a copy, so that its last changes are lost and their numbers are given out
-//! again.
+//! Detects that the store was restored from a backup: its latest changes are lost, and their
+//! revision numbers are assigned again.
 
 use std::fmt::Display;
 use std::time::Duration;
@@ -9,23 +9,24 @@
 use crate::counters::STORE_RESTORES;
 use crate::state::Shared;
 
-/// Time within which operators and runners have written again what the store has lost, and entries of runners that are gone
-/// have lapsed: three heartbeats of a runner and what follows; 1.2 s is the longest heartbeat of the platform's sheets.
-const REWRITTEN_WITHIN: Duration = Duration::from_secs(5);
+/// Time within which operators and runners have rewritten what the store has lost, and entries of
+/// removed runners have expired: three heartbeats of a runner plus processing; 1.2 s is the longest
+/// heartbeat in the platform's specifications.
+const REWRITE_WINDOW: Duration = Duration::from_secs(5);
 
 impl Shared {
-    /// Notes the era of a revision that another daemon has told. It says nothing to one that has not known the store yet:
-    /// builds that know of no eras tell revisions without them.
-    pub(crate) fn hear_store_era(&self, revision: StoreRevision) {
+    /// Records the era of a revision that another daemon has announced. Ignored until this daemon
+    /// has an answer of the store itself: legacy builds announce revisions without eras.
+    pub(crate) fn observe_store_era(&self, revision: StoreRevision) {
         let is_known = self.tables().store_era.is_some();
         if is_known {
-            self.note_store_era(revision);
+            self.record_store_era(revision);
         }
     }
 
-    /// Notes the era of an answer of the store, and logs it if it is a later one than before. Watches of the era before are
-    /// made again.
-    pub(crate) fn note_store_era(&self, revision: StoreRevision) {
+    /// Records the era of an answer of the store, and logs it if it is later than the known one.
+    /// Watches started in the earlier era are restarted.
+    pub(crate) fn record_store_era(&self, revision: StoreRevision) {
         let now = self.now();
         let era = revision.era;
         let mut tables = self.tables();
@@ -65,15 +66,15 @@
         }
     }
 
-    /// Whether the store may not hold yet what operators and runners write again.
+    /// Whether the store may still lack what operators and runners have to rewrite after a restore.
     pub(crate) fn is_store_incomplete(&self) -> bool {
         let now = self.now();
         let restored_at = self.tables().restored_at;
-        restored_at.is_some_and(|at| now.since(at) < REWRITTEN_WITHIN)
+        restored_at.is_some_and(|at| now.since(at) < REWRITE_WINDOW)
     }
 
-    /// Whether a revision is of an earlier era than the one that the store is in.
-    pub(crate) fn is_of_past(&self, revision: StoreRevision) -> bool {
+    /// Whether a revision belongs to an earlier era than the current one of the store.
+    pub(crate) fn is_past_era(&self, revision: StoreRevision) -> bool {
         let known = self.tables().store_era;
         known.is_some_and(|start| revision.era < start.first.era)
     }
--- a/crates/ingress/src/store_word.rs
+++ b/crates/ingress/src/store_report.rs
@@ -1,4 +1,4 @@
-//! What a daemon has been told of the store by those who watch it.
+//! Reports on the store from the daemons that watch it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,21 +11,21 @@
 
 use crate::state::Shared;
 
-/// What those who watch the store say of it. While it stands, a daemon reads the store only when there is
-/// something new, instead of watching it.
+/// The merged reports on the store from the daemons that watch it. While it is valid, a daemon
+/// reads the store only when there is a newer version, instead of watching it.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct StoreWord {
-    /// Until when it stands.
+pub(crate) struct StoreReport {
+    /// Until when the report is valid.
     pub trusted_until: Option<Timestamp>,
     /// The newest version of the configuration.
     pub configuration_version: u64,
     /// Revision of the last change that daemons other than the coordinator must know of.
     pub membership_revision: u64,
-    /// What this daemon does for the others.
+    /// This daemon's role in watching the store.
     pub role: WatchRole,
 }
 
-/// What those who watch the store tell all others alike.
+/// The facts about the store that a watching daemon announces to all others alike.
 pub(crate) struct StoreFacts {
     pub state: StoreState,
     pub evacuations: Evacuations,
@@ -33,36 +33,48 @@
     pub quarantine_digest: u64,
 }
 
-impl StoreWord {
-    /// Until when the store need not be watched.
-    pub(crate) fn stands_until(&self, now: Timestamp) -> Option<Timestamp> {
+impl StoreReport {
+    /// Until when the store need not be watched; `None` if the report has expired.
+    pub(crate) fn valid_until(&self, now: Timestamp) -> Option<Timestamp> {
         self.trusted_until.filter(|&until| until > now)
     }
 
-    /// Whether this daemon watches the store for others while the word does not stand.
+    /// Whether this daemon watches the store for others while the report has expired.
     pub(crate) fn watches_for_others(&self) -> bool {
         self.role != WatchRole::Member
     }
 }
 
 impl Shared {
-    /// Takes in what a daemon that watches the store says of it, in a message that came no earlier than at a time.
-    pub(crate) fn hear_store(&self, from: SocketAddr, state: &StoreState, came_after: Timestamp) {
+    /// Records a watching daemon's report on the store, from a message that arrived no earlier than
+    /// `earliest_arrival`.
+    pub(crate) fn record_store_report(
+        &self,
+        from: SocketAddr,
+        state: &StoreState,
+        earliest_arrival: Timestamp,
+    ) {
         let revision = StoreRevision::from_ordered(state.membership_revision);
-        // Who has not noticed that the store came back from a copy can't vouch for what it holds.
-        if !self.is_of_past(revision) {
-            self.hear_store_era(revision);
-            self.trust_word(from, state, came_after);
+        // A sender that has not observed the restore of the store can't vouch for its content.
+        if !self.is_past_era(revision) {
+            self.observe_store_era(revision);
+            self.apply_store_report(from, state, earliest_arrival);
         }
-        self.store_word.send_modify(|word| {
-            word.configuration_version =
-                word.configuration_version.max(state.configuration_version);
-            word.membership_revision = word.membership_revision.max(state.membership_revision);
+        self.store_report.send_modify(|report| {
+            report.configuration_version = report
+                .configuration_version
+                .max(state.configuration_version);
+            report.membership_revision = report.membership_revision.max(state.membership_revision);
         });
-        self.renew_store_word();
+        self.refresh_store_report();
     }
 
-    fn trust_word(&self, from: SocketAddr, state: &StoreState, came_after: Timestamp) {
+    fn apply_store_report(
+        &self,
+        from: SocketAddr,
+        state: &StoreState,
+        earliest_arrival: Timestamp,
+    ) {
         let now = self.now();
         let mut tables = self.tables();
         tables.store_trust.record_report(from, state, now);
@@ -71,29 +83,29 @@
             let version = state.configuration_version;
             tables
                 .configuration_age
-                .confirmed(version, came_after - age);
+                .confirmed(version, earliest_arrival - age);
         }
     }
 
-    /// Sets what this daemon does for the others.
+    /// Sets this daemon's role in watching the store.
     pub(crate) fn set_watch_role(&self, role: WatchRole) {
-        if self.store_word.borrow().role == role {
+        if self.store_report.borrow().role == role {
             return;
         }
-        self.store_word.send_modify(|word| word.role = role);
-        self.renew_store_word();
+        self.store_report.send_modify(|report| report.role = role);
+        self.refresh_store_report();
     }
 
-    /// Works out anew until when the word on the store stands.
-    pub(crate) fn renew_store_word(&self) {
+    /// Recomputes until when the report on the store is valid.
+    pub(crate) fn refresh_store_report(&self) {
         let now = self.now();
-        let role = self.store_word.borrow().role;
+        let role = self.store_report.borrow().role;
         let until = self.tables().store_trust.fresh_until(role, now);
-        self.store_word
-            .send_modify(|word| word.trusted_until = until);
+        self.store_report
+            .send_modify(|report| report.trusted_until = until);
     }
 
-    /// What this daemon tells of the store while it watches it.
+    /// The facts that this daemon announces while it watches the store.
     pub(crate) fn store_facts(&self) -> StoreFacts {
         let state = self.store_state();
         let now = self.now();
@@ -105,7 +117,7 @@
         }
     }
 
-    /// What this daemon knows of the store.
+    /// The state of the store as this daemon knows it.
     pub(crate) fn store_state(&self) -> StoreState {
         let silence = millis(self.store_silence());
         let age = self.configuration_age();
--- a/crates/ingress/src/unreadable.rs
+++ b/crates/ingress/src/unreadable.rs
@@ -1,4 +1,4 @@
-//! Objects of the store that can't be read. Whoever wrote them, each names nothing to use, and costs itself alone.
+//! Store objects that can't be decoded. An unreadable object is ignored and does not affect others.
 
 use std::collections::HashSet;
 use std::fmt::Display;
@@ -8,10 +8,11 @@
 use crate::outside::UnreadableEntry;
 use crate::state::Shared;
 
-/// Revisions of objects that are remembered as logged, at most. Once there are more, all are forgotten and may be logged again.
+/// Upper bound of the revisions remembered as logged. When it is reached, the set is cleared and
+/// objects may be logged again.
 const MAX_REMEMBERED: usize = 1_024;
 
-/// What an object that can't be read should have told.
+/// Kind of an unreadable object.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum ObjectKind {
     Runner,
@@ -31,7 +32,7 @@
     }
 }
 
-/// A revision of an object, as far as its name and its revision can be read.
+/// A revision of an object, as far as its name and revision can be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct ObjectRevision {
     kind: ObjectKind,
@@ -39,15 +40,15 @@
     revision: Option<u64>,
 }
 
-/// The revisions of objects that were logged as unreadable.
+/// Revisions of objects already logged as unreadable.
 #[derive(Debug, Default)]
 pub(crate) struct UnreadableLog {
     logged: Mutex<HashSet<ObjectRevision>>,
 }
 
 impl UnreadableLog {
-    /// Whether this revision of an object was not noted before.
-    fn is_news(&self, kind: ObjectKind, entry: &UnreadableEntry) -> bool {
+    /// Records a revision of an object. Returns whether it had not been recorded before.
+    fn insert_new(&self, kind: ObjectKind, entry: &UnreadableEntry) -> bool {
         let Ok(mut logged) = self.logged.lock() else {
             return false;
         };
@@ -63,10 +64,10 @@
 }
 
 impl Shared {
-    /// Logs and counts objects that can't be read, each revision of one once.
-    pub(crate) fn note_unreadable(&self, kind: ObjectKind, entries: &[UnreadableEntry]) {
+    /// Logs and counts unreadable objects, each revision once.
+    pub(crate) fn record_unreadable(&self, kind: ObjectKind, entries: &[UnreadableEntry]) {
         for entry in entries {
-            if !self.unreadable.is_news(kind, entry) {
+            if !self.unreadable.insert_new(kind, entry) {
                 continue;
             }
             let kind = kind.as_str();
--- a/crates/ingress/src/usage.rs
+++ b/crates/ingress/src/usage.rs
@@ -1,4 +1,4 @@
-//! What the daemon's requests have used lately, use now and wait for, for the coordinator.
+//! Recent, running and waiting demand of this daemon's requests, as reported to the coordinator.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -10,13 +10,13 @@
 
 const WINDOW: Duration = Duration::from_secs(USE_WINDOW_SECONDS as u64);
 
-/// Requests that have begun in the last seconds, by what they need.
+/// Requests started within the window, by requirement.
 #[derive(Debug, Default)]
-pub(crate) struct UseLog {
+pub(crate) struct UsageLog {
     requirements: HashMap<Requirement, VecDeque<Timestamp>>,
 }
 
-impl UseLog {
+impl UsageLog {
     pub(crate) fn count(&mut self, requirement: Requirement, now: Timestamp) {
         let times = self.requirements.entry(requirement).or_default();
         times.push_back(now);
@@ -84,26 +84,26 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct WaitingRequest {
     pub priority: u8,
-    /// Latest time at which a load must begin for the request to be in time.
+    /// Latest time at which a load must start for the request to meet its target.
     pub load_by: Timestamp,
 }
 
 impl Waiting {
-    /// A request begins to wait.
+    /// Adds a waiting request.
     pub(crate) fn add(&mut self, request: WaitingRequest) {
         self.requests.push(request);
     }
 
-    /// A request that was added waits no longer. Returns whether none is left.
+    /// Removes a waiting request. Returns whether none is left.
     pub(crate) fn remove(&mut self, request: WaitingRequest) -> bool {
-        let place = self.requests.iter().position(|it| *it == request);
-        if let Some(place) = place {
-            self.requests.swap_remove(place);
+        let index = self.requests.iter().position(|it| *it == request);
+        if let Some(index) = index {
+            self.requests.swap_remove(index);
         }
         self.requests.is_empty()
     }
 
-    /// What the coordinator is told of them.
+    /// Summary for the coordinator.
     pub(crate) fn summary(&self, requirement: &Requirement, now: Timestamp) -> WaitingUnit {
         let count = |length: usize| u32::try_from(length).unwrap_or(u32::MAX);
         let late = self.requests.iter().filter(|it| it.load_by < now);
--- a/crates/ingress/src/waiting.rs
+++ b/crates/ingress/src/waiting.rs
@@ -1,4 +1,4 @@
-//! Requests that wait until a unit is ready at some runner.
+//! Requests that wait until a unit is ready at a runner.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -11,34 +11,35 @@
 use flaxward_types::time::Timestamp;
 use tokio::time::{Instant, sleep_until};
 
-use crate::counters::ROOM_WAITS;
+use crate::counters::CAPACITY_WAITS;
 use crate::exchange::ClientRequest;
 use crate::state::Shared;
 use crate::usage::WaitingRequest;
 
-/// Time after the promised moment at which a unit counts as late and the promise as broken.
+/// Time past the promised moment after which a unit counts as late and the promise as broken.
 const PROMISE_SLACK: Duration = Duration::from_millis(2_500);
-/// Time that an answer needs once the unit is ready, at least.
-const LEAST_RUN: Duration = Duration::from_millis(150);
-/// When to come back if nobody says when the unit is ready.
+/// Minimum time for an answer once the unit is ready.
+const MIN_RUN_TIME: Duration = Duration::from_millis(150);
+/// Retry delay if there is no estimate of when the unit is ready.
 const UNKNOWN_RETRY: Duration = Duration::from_millis(900);
-/// When to come back if there is no coordinator, which takes until the lease has run out.
-const SUCCESSOR_RETRY: Duration = Duration::from_secs(3);
-/// Part of the target after which a request without a promise is refused.
+/// Retry delay if there is no coordinator: failover takes until the lease has expired.
+const FAILOVER_RETRY: Duration = Duration::from_secs(3);
+/// Share of the target after which a request without a promise is refused.
 const SHARE_WITHOUT_PROMISE: f64 = 0.2;
-/// Time allowed for the promise of a coordinator that is heard, also if the target is short: a message each way, a
-/// plan of a busy coordinator and the pause after the one before. A request that is refused sooner comes back later
-/// than it would have been promised.
+/// Time allowed for a promise while there is a coordinator, also if the target is short: a message
+/// each way, one planning round of a busy coordinator and the pause after the round before. A
+/// request that is refused sooner is retried later than the promise would have allowed.
 const PLAN_WAIT: Duration = Duration::from_millis(400);
-/// Part of the target that this takes at most.
+/// Upper bound of [`PLAN_WAIT`], as a share of the target.
 const PLAN_WAIT_SHARE: f64 = 0.5;
-/// The same if none is heard: a successor may be about to begin.
-const LEAST_SUCCESSOR_WAIT: Duration = Duration::from_millis(60);
+/// Minimum time allowed for a promise while there is no coordinator: a successor may be about to
+/// take over.
+const MIN_FAILOVER_WAIT: Duration = Duration::from_millis(60);
 
-/// Time that a load is expected to take: one from a runner's disk.
+/// Expected duration of a load from a runner's disk.
 const LOAD_TIME: Duration = Duration::from_millis(1_700);
 
-/// Counts a request as waiting for as long as it lives.
+/// Counts a request as waiting until dropped.
 struct WaitingGuard {
     shared: Arc<Shared>,
     requirement: Requirement,
@@ -75,11 +76,12 @@
     }
 }
 
-/// Waits until a runner within the homes of the request holds the unit. `arrived` is when the request came: what it has
-/// spent before, at runners or in an earlier wait, counts towards its callers' patience.
+/// Waits until a runner in the request's home regions has loaded the unit. `arrived` is when the
+/// request arrived: time already spent at runners or in an earlier wait counts towards the caller's
+/// timeout.
 ///
 /// # Errors
-/// Refuses as soon as it is clear that the unit is not ready in time.
+/// Refuses as soon as it is certain that the unit will not be ready in time.
 pub(crate) async fn wait_for_unit(
     shared: &Arc<Shared>,
     request: &ClientRequest,
@@ -87,17 +89,17 @@
     requirement: &Requirement,
     arrived: Instant,
 ) -> Result<(), Refusal> {
-    let begun_at = shared.now();
-    let begun = Instant::now();
+    let started_at = shared.now();
+    let started = Instant::now();
     let _guard = WaitingGuard::begin(shared, requirement, route, request.priority);
     loop {
         let latest = latest_start(shared, request, route, arrived);
-        let promise_due = (begun + promise_wait(shared, route)).min(latest);
+        let promise_due = (started + promise_wait(shared, route)).min(latest);
         let changed = shared.changed.notified();
         tokio::pin!(changed);
         changed.as_mut().enable();
-        if is_held(shared, requirement) {
-            let waited = begun.elapsed().as_millis();
+        if is_loaded(shared, requirement) {
+            let waited = started.elapsed().as_millis();
             let fields: &[(&str, &dyn std::fmt::Display)] = &[
                 ("request", &request.profile.id),
                 ("unit", requirement),
@@ -106,7 +108,7 @@
             shared.log.write(shared.now(), "unit-ready", fields);
             return Ok(());
         }
-        let wake_at = match promised(shared, requirement, begun_at) {
+        let wake_at = match promised(shared, requirement, started_at) {
             Some(ready_at) => {
                 let ready = shared.clock.instant(ready_at);
                 if ready > latest {
@@ -117,11 +119,11 @@
             None => promise_due,
         };
         if Instant::now() >= wake_at {
-            let hears = shared.hears_coordinator.load(Ordering::Relaxed);
-            let retry = if hears {
+            let has_coordinator = shared.has_coordinator.load(Ordering::Relaxed);
+            let retry = if has_coordinator {
                 UNKNOWN_RETRY
             } else {
-                SUCCESSOR_RETRY
+                FAILOVER_RETRY
             };
             return Err(not_ready(retry));
         }
@@ -132,34 +134,35 @@
     }
 }
 
-/// Time allowed for the promise of the coordinator.
+/// Time allowed for the coordinator's promise.
 fn promise_wait(shared: &Shared, route: &Route) -> Duration {
-    let hears = shared.hears_coordinator.load(Ordering::Relaxed);
-    let least = if hears {
+    let has_coordinator = shared.has_coordinator.load(Ordering::Relaxed);
+    let min_wait = if has_coordinator {
         PLAN_WAIT.min(route.target.mul_f64(PLAN_WAIT_SHARE))
     } else {
-        LEAST_SUCCESSOR_WAIT
+        MIN_FAILOVER_WAIT
     };
-    route.target.mul_f64(SHARE_WITHOUT_PROMISE).max(least)
+    route.target.mul_f64(SHARE_WITHOUT_PROMISE).max(min_wait)
 }
 
-/// Waits until there may be room at a runner that rests or needs a permit, or until something has changed.
+/// Waits until a runner that rests or needs a permit may have capacity, or until the tables change.
 ///
 /// # Errors
-/// Refuses at once if there is no room in time.
-pub(crate) async fn wait_for_room(
+/// Refuses immediately if no capacity becomes available in time.
+pub(crate) async fn wait_for_capacity(
     shared: &Arc<Shared>,
     request: &ClientRequest,
     route: &Route,
-    room_at: Timestamp,
+    available_at: Timestamp,
     arrived: Instant,
 ) -> Result<(), Refusal> {
-    let wake_at = shared.clock.instant(room_at);
+    let wake_at = shared.clock.instant(available_at);
     if wake_at > latest_start(shared, request, route, arrived) {
-        return Err(not_ready(room_at.since(shared.now())));
+        return Err(not_ready(available_at.since(shared.now())));
     }
-    metrics::counter!(ROOM_WAITS.name).increment(1);
-    // The coordinator must hear of it: another copy may be ready before these have room.
+    metrics::counter!(CAPACITY_WAITS.name).increment(1);
+    // Report the demand to the coordinator: another replica may be ready before these runners have
+    // capacity.
     let requirement = request.requirement();
     let _guard = requirement.map(|it| WaitingGuard::begin(shared, &it, route, request.priority));
     tokio::select! {
@@ -169,34 +172,38 @@
     Ok(())
 }
 
-/// The latest moment at which the request can be sent and still be answered.
+/// The latest moment at which the request can be sent and still be answered in time.
 fn latest_start(
     shared: &Shared,
     request: &ClientRequest,
     route: &Route,
     arrived: Instant,
 ) -> Instant {
-    let patience = if route.kind.is_stream() {
+    let answer_deadline = if route.kind.is_stream() {
         (arrived + route.stream_silence_timeout()).min(request.deadline)
     } else {
         request.deadline
     };
-    let stop_end = shared.tables().stop_end.unwrap_or(patience);
-    patience.min(stop_end) - LEAST_RUN
+    let stop_end = shared.tables().stop_end.unwrap_or(answer_deadline);
+    answer_deadline.min(stop_end) - MIN_RUN_TIME
 }
 
-/// Whether a runner within the homes holds the unit.
-fn is_held(shared: &Shared, requirement: &Requirement) -> bool {
+/// Whether a runner in the home regions has loaded the unit.
+fn is_loaded(shared: &Shared, requirement: &Requirement) -> bool {
     let now = shared.now();
     let tables = shared.tables();
     let availability = tables.availability(&shared.locality);
     availability.is_unit_loaded(requirement, now)
 }
 
-fn promised(shared: &Shared, requirement: &Requirement, begun_at: Timestamp) -> Option<Timestamp> {
+fn promised(
+    shared: &Shared,
+    requirement: &Requirement,
+    started_at: Timestamp,
+) -> Option<Timestamp> {
     let tables = shared.tables();
-    let outlook = tables.outlooks.get(requirement)?;
-    (outlook.told_at >= begun_at).then_some(outlook.ready_at)
+    let estimate = tables.readiness_estimates.get(requirement)?;
+    (estimate.received_at >= started_at).then_some(estimate.ready_at)
 }
 
 fn not_ready(retry_after: Duration) -> Refusal {
--- a/crates/ingress/src/watches/evacuations.rs
+++ b/crates/ingress/src/watches/evacuations.rs
@@ -1,4 +1,5 @@
-//! Keeps the list of evacuated zones up to date: from those who watch the store, or else from the store.
+//! Keeps the list of evacuated zones up to date: from the daemons that watch the store, or else
+//! from the store.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,44 +9,44 @@
 use flaxward_routing::revision::StoreRevision;
 use tokio::time::sleep;
 
-use super::{Backoff, changes_mode, goes_on, log_history_gone, wait_for_word};
+use super::{Backoff, changes_mode, is_same_era, log_history_gone, wait_for_report};
+use crate::cold_periods::mark_returned_zones_cold;
 use crate::outside::{Listing, StoreError};
-use crate::spells::suspect_returned;
 use crate::state::Shared;
 use crate::unreadable::ObjectKind;
 
-/// Part of the bound on evacuations for which the store holds a watch: two that are lost leave time for a third, and for
-/// the word to the other daemons.
+/// Duration of a watch, as a share of the evacuation bound: two lost watches leave time for a
+/// third, and for the announcement to other daemons.
 const WATCH_SHARE: f64 = 0.2;
 
-/// Shortest time between two reads of the list.
-const LEAST_PAUSE: Duration = Duration::from_millis(100);
+/// Minimum time between two reads of the list.
+const MIN_PAUSE: Duration = Duration::from_millis(100);
 
-/// Keeps the list up to date, if the operators bound the time in which it must be followed; else it is never read.
+/// Keeps the list up to date if the operators set an evacuation bound; otherwise it is never read.
 pub(crate) async fn watch_evacuations(shared: Arc<Shared>) {
     let Some(bound) = shared.settings.evacuation_bound else {
         return;
     };
     let wait = bound.mul_f64(WATCH_SHARE);
     let mut backoff = Backoff::new("store/evacuations");
-    let mut restarts = shared.store_restarts.subscribe();
-    let mut words = shared.store_word.subscribe();
+    let mut restarts = shared.watch_restarts.subscribe();
+    let mut reports = shared.store_report.subscribe();
     let mut revision = None;
     loop {
-        let word = *words.borrow_and_update();
-        if let Some(until) = word.stands_until(shared.now()) {
+        let report = *reports.borrow_and_update();
+        if let Some(until) = report.valid_until(shared.now()) {
             revision = None;
-            wait_for_word(&shared, &mut words, until).await;
+            wait_for_report(&shared, &mut reports, until).await;
             continue;
         }
         let Some(after) = revision else {
             match shared.store.evacuated_zones().await {
                 Ok(listing) => {
                     backoff.succeeded(&shared);
-                    shared.note_store_era(listing.revision);
+                    shared.record_store_era(listing.revision);
                     revision = Some(listing.revision);
-                    listed(&shared, listing);
-                    if backoff.pause_if_careful(&shared).await {
+                    apply_listing(&shared, listing);
+                    if backoff.pause_before_relist(&shared).await {
                         revision = None;
                     }
                 }
@@ -60,14 +61,14 @@
                 revision = None;
                 continue;
             }
-            _ = words.wait_for(|new| changes_mode(&shared, word, *new)) => continue,
+            _ = reports.wait_for(|new| changes_mode(&shared, report, *new)) => continue,
         };
         match changed {
             Ok(watched) => {
                 backoff.succeeded(&shared);
-                shared.note_store_era(watched.revision);
-                // The list is read anew if it has changed, or the watch may have missed that.
-                if watched.has_changes || !goes_on(after, watched.revision) {
+                shared.record_store_era(watched.revision);
+                // Read the list again if it has changed, or if the watch may have missed a change.
+                if watched.has_changes || !is_same_era(after, watched.revision) {
                     revision = None;
                 }
             }
@@ -81,21 +82,21 @@
             }
         }
         if revision.is_none() {
-            sleep(LEAST_PAUSE).await;
+            sleep(MIN_PAUSE).await;
         }
     }
 }
 
-fn listed(shared: &Shared, listing: Listing<Zone>) {
-    shared.note_unreadable(ObjectKind::Evacuation, &listing.unreadable);
+fn apply_listing(shared: &Shared, listing: Listing<Zone>) {
+    shared.record_unreadable(ObjectKind::Evacuation, &listing.unreadable);
     let mut zones = listing.items;
     if shared.is_store_incomplete() {
-        // What operators have asked for may not be written again yet.
+        // The operators' evacuations may not have been rewritten since the restore.
         zones.extend(shared.tables().evacuations.zones.iter().cloned());
     }
     zones.sort();
     zones.dedup();
-    take_evacuations(
+    apply_evacuations(
         shared,
         Evacuations {
             revision: listing.revision.ordered(),
@@ -105,8 +106,8 @@
     );
 }
 
-/// Takes in a list of evacuated zones; `source` tells who told it, for the log.
-pub(crate) fn take_evacuations(shared: &Shared, listed: Evacuations, source: &str) {
+/// Applies a list of evacuated zones; `source` is logged.
+pub(crate) fn apply_evacuations(shared: &Shared, listed: Evacuations, source: &str) {
     let zones: Vec<&str> = listed.zones.iter().map(Zone::as_str).collect();
     let zones = zones.join(",");
     let revision = listed.revision;
@@ -114,7 +115,7 @@
     if !shared.tables().evacuations.update(listed) {
         return;
     }
-    suspect_returned(shared, &before);
+    mark_returned_zones_cold(shared, &before);
     let fields: &[(&str, &dyn std::fmt::Display)] = &[
         ("zones", &format!("{zones:?}")),
         ("store_revision", &StoreRevision::from_ordered(revision)),
--- a/crates/ingress/src/watches/mod.rs
+++ b/crates/ingress/src/watches/mod.rs
@@ -1,8 +1,8 @@
 //! Reads configuration and runners from the store and keeps them up to date.
 //!
-//! The coordinator watches the store, and a standby while the coordinator does not tell of it. Any other daemon
-//! reads the store when one of them has told of something new that it was not told itself, and watches it while
-//! all of them are silent.
+//! The coordinator watches the store; a standby does while the coordinator sends no reports on it.
+//! Any other daemon reads the store when one of them has announced a change that it did not
+//! receive, and watches it while all of them are silent.
 
 mod configuration;
 mod evacuations;
@@ -20,33 +20,33 @@
 use crate::counters::STORE_CALLS_FAILED;
 use crate::outside::{Freshness, StoreError};
 use crate::state::Shared;
-use crate::store_word::StoreWord;
+use crate::store_report::StoreReport;
 
 pub(crate) use configuration::{apply_configuration, watch_configuration};
-pub(crate) use evacuations::{take_evacuations, watch_evacuations};
-pub(crate) use runners::{take_membership, watch_runners};
+pub(crate) use evacuations::{apply_evacuations, watch_evacuations};
+pub(crate) use runners::{apply_membership, watch_runners};
 
-/// Longest time that the store holds a watch.
+/// Maximum duration of a watch.
 const WATCH_WAIT: Duration = Duration::from_secs(10);
-/// The same for those who watch for others.
+/// Maximum duration of a watch at daemons that watch for others.
 const SHARED_WATCH_WAIT: Duration = Duration::from_millis(600);
-/// Time after a failed call in which the store is read whole again and again: it may be losing its
-/// history, and a watch that is begun meanwhile may hear nothing.
-const CAREFUL: Duration = Duration::from_millis(2_500);
+/// Time after a failed call during which the store is listed repeatedly: it may be losing its
+/// history, and a watch started meanwhile may miss changes.
+const RELIST_PERIOD: Duration = Duration::from_millis(2_500);
 /// Pause between these reads.
-const CAREFUL_PAUSE: Duration = Duration::from_millis(700);
-/// First pause after a failed call of those who watch for others.
+const RELIST_PAUSE: Duration = Duration::from_millis(700);
+/// First pause after a failed call at daemons that watch for others.
 const FIRST_BACKOFF: Duration = Duration::from_millis(100);
-/// The same of all others, whose calls are many.
+/// First pause at all other daemons, since together they make many calls.
 const FIRST_MEMBER_BACKOFF: Duration = Duration::from_millis(250);
-/// Longest pause after a failed call.
-const LONGEST_BACKOFF: Duration = Duration::from_millis(800);
+/// Maximum pause after a failed call.
+const MAX_BACKOFF: Duration = Duration::from_millis(800);
 
-/// Pauses between failed calls, longer each time and never alike at two daemons.
+/// Exponential backoff with jitter between failed calls.
 struct Backoff {
     next: Duration,
-    /// Until then the store is read and not watched; see [`CAREFUL`].
-    careful_until: Timestamp,
+    /// Until then the store is listed and not watched; see [`RELIST_PERIOD`].
+    relist_until: Timestamp,
     what: &'static str,
     is_lost: bool,
 }
@@ -55,7 +55,7 @@
     fn new(what: &'static str) -> Self {
         Self {
             next: FIRST_BACKOFF,
-            careful_until: Timestamp::ZERO,
+            relist_until: Timestamp::ZERO,
             what,
             is_lost: false,
         }
@@ -63,23 +63,24 @@
 
     async fn failed(&mut self, shared: &Shared, error: &StoreError) {
         self.log_failure(shared, error);
-        if !shared.store_word.borrow().watches_for_others() {
+        if !shared.store_report.borrow().watches_for_others() {
             self.next = self.next.max(FIRST_MEMBER_BACKOFF);
         }
         let pause = self.next.mul_f64(rand::rng().random_range(0.5..1.0));
-        self.next = (self.next * 2).min(LONGEST_BACKOFF);
+        self.next = (self.next * 2).min(MAX_BACKOFF);
         sleep(pause).await;
     }
 
-    /// Pauses before the next full read, if the store is not to be watched yet, or may be missing what is written again.
-    async fn pause_if_careful(&self, shared: &Shared) -> bool {
-        let is_careful = shared.now() < self.careful_until
+    /// Pauses before the next full read, if the store must not be watched yet or may lack entries
+    /// that have to be rewritten. Returns whether it paused.
+    async fn pause_before_relist(&self, shared: &Shared) -> bool {
+        let must_relist = shared.now() < self.relist_until
             || shared.is_store_incomplete()
             || shared.tables().runners.has_withheld_entries();
-        if is_careful {
-            sleep(CAREFUL_PAUSE).await;
+        if must_relist {
+            sleep(RELIST_PAUSE).await;
         }
-        is_careful
+        must_relist
     }
 
     fn log_failure(&mut self, shared: &Shared, error: &StoreError) {
@@ -89,7 +90,7 @@
             "dependency-lost"
         };
         self.is_lost = true;
-        self.careful_until = shared.now() + CAREFUL;
+        self.relist_until = shared.now() + RELIST_PERIOD;
         metrics::counter!(STORE_CALLS_FAILED.name).increment(1);
         let fields: &[(&str, &dyn std::fmt::Display)] =
             &[("dependency", &self.what), ("error", error)];
@@ -108,39 +109,40 @@
     }
 }
 
-/// Waits until the word of the coordinator changes or no longer stands.
-async fn wait_for_word(
+/// Waits until the report on the store changes or expires.
+async fn wait_for_report(
     shared: &Shared,
-    words: &mut watch::Receiver<StoreWord>,
-    stands_until: Timestamp,
+    reports: &mut watch::Receiver<StoreReport>,
+    valid_until: Timestamp,
 ) {
     tokio::select! {
-        _ = words.changed() => {}
-        () = sleep_until(shared.clock.instant(stands_until)) => {}
+        _ = reports.changed() => {}
+        () = sleep_until(shared.clock.instant(valid_until)) => {}
     }
 }
 
-/// How long the store holds a watch. Those who watch for others must soon notice a watch that will never be
+/// Duration of a watch. Daemons that watch for others must soon detect a watch that will never be
 /// answered.
-fn watch_wait(word: StoreWord) -> Duration {
-    if word.watches_for_others() {
+fn watch_wait(report: StoreReport) -> Duration {
+    if report.watches_for_others() {
         SHARED_WATCH_WAIT
     } else {
         WATCH_WAIT
     }
 }
 
-/// Until when a daemon that has just started and has read something waits for the word of those who watch,
-/// before it watches the store itself. Nobody may rely on what a daemon knows so soon after its start.
-fn starts_until(shared: &Shared, word: StoreWord, has_read: bool) -> Option<Timestamp> {
-    let ends = Timestamp::ZERO + shared.settings.news_bound;
-    let waits = has_read && word.role == WatchRole::Member && shared.now() < ends;
+/// Until when a daemon that has just started and has read the store waits for a report, before it
+/// watches the store itself. No other daemon relies on its state so soon after the start.
+fn startup_until(shared: &Shared, report: StoreReport, has_read: bool) -> Option<Timestamp> {
+    let ends = Timestamp::ZERO + shared.settings.propagation_bound;
+    let waits = has_read && report.role == WatchRole::Member && shared.now() < ends;
     waits.then_some(ends)
 }
 
-/// How new an answer must be for a daemon that has read nothing yet or, if it has, knows of nothing newer.
-fn first_freshness(shared: &Shared, word: StoreWord, has_read: bool) -> Freshness {
-    let is_first = !has_read && starts_until(shared, word, true).is_some();
+/// Required freshness of an answer: a daemon that has just started and has read nothing yet accepts
+/// a possibly stale one.
+fn first_freshness(shared: &Shared, report: StoreReport, has_read: bool) -> Freshness {
+    let is_first = !has_read && startup_until(shared, report, true).is_some();
     if is_first {
         Freshness::MayBeOld
     } else {
@@ -148,16 +150,16 @@
     }
 }
 
-/// Whether a watch under way is no longer what the daemon should do: the coordinator's word stands again,
-/// or this daemon coordinates now.
-fn changes_mode(shared: &Shared, old: StoreWord, new: StoreWord) -> bool {
-    old.role != new.role || new.stands_until(shared.now()).is_some()
+/// Whether a running watch must be dropped: the report on the store is valid again, or the role of
+/// this daemon has changed.
+fn changes_mode(shared: &Shared, old: StoreReport, new: StoreReport) -> bool {
+    old.role != new.role || new.valid_until(shared.now()).is_some()
 }
 
-/// Whether what a watch has told goes on from where it began. If the store came back from a copy meanwhile, changes before
-/// it may be missing.
-fn goes_on(after: StoreRevision, told_at: StoreRevision) -> bool {
-    after.era == told_at.era
+/// Whether an answer of a watch is of the era in which the watch started. If the store was restored
+/// in between, earlier changes may be missing.
+fn is_same_era(after: StoreRevision, answered_at: StoreRevision) -> bool {
+    after.era == answered_at.era
 }
 
 fn log_history_gone(shared: &Shared, dependency: &str) {
--- a/crates/ingress/src/watches/runners.rs
+++ b/crates/ingress/src/watches/runners.rs
@@ -10,29 +10,30 @@
 use tokio::time::{sleep, timeout};
 
 use super::{
-    Backoff, changes_mode, first_freshness, goes_on, log_history_gone, starts_until, wait_for_word,
-    watch_wait,
+    Backoff, changes_mode, first_freshness, is_same_era, log_history_gone, startup_until,
+    wait_for_report, watch_wait,
 };
+use crate::cold_periods::update_cold_periods;
 use crate::outside::{Listing, RunnerChange, StoreError};
 use crate::pool::Lives;
-use crate::spells::take_in_spells;
 use crate::state::Shared;
-use crate::store_word::StoreWord;
+use crate::store_report::StoreReport;
 use crate::unreadable::ObjectKind;
 
-/// Time that the store holds a watch that is only to tell what has happened before.
+/// Duration of a watch that only reads past changes.
 const CATCH_UP_WAIT: Duration = Duration::from_millis(1);
-/// Time for which a list that was read waits for that watch, which the store may never answer.
+/// Timeout for that watch, which the store may never answer.
 const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(300);
-/// Pause after changes of runners, so that several come with one call.
+/// Pause after changes of runners, so that several changes come with one call.
 const RUNNERS_PAUSE: Duration = Duration::from_millis(600);
-/// The same where requests to cold runners are bounded: what is sent until they are known to be cold counts too.
+/// Pause where requests to cold runners are limited: requests sent before a runner is known to be
+/// cold count towards its limit.
 const COLD_RUNNERS_PAUSE: Duration = Duration::from_millis(300);
-/// Part of the bound on news for which a daemon that knows less than the coordinator waits to be told before it
-/// reads the store.
-const UPDATE_PATIENCE_SHARE: f64 = 0.2;
+/// Time for which a daemon that is behind the coordinator waits for an update before it reads the
+/// store, as a share of the propagation bound.
+const UPDATE_TIMEOUT_SHARE: f64 = 0.2;
 
-/// The pause after changes of runners: a short one where word of cold runners must soon be heard.
+/// The pause after changes of runners: shorter where cold runners must be known early.
 fn runners_pause(shared: &Shared) -> Duration {
     match shared.settings.cold_runners {
         Some(_) => COLD_RUNNERS_PAUSE,
@@ -43,46 +44,49 @@
 /// Keeps the list of runners up to date.
 pub(crate) async fn watch_runners(shared: Arc<Shared>) {
     let mut backoff = Backoff::new("store/runners");
-    let mut restarts = shared.store_restarts.subscribe();
-    let mut words = shared.store_word.subscribe();
+    let mut restarts = shared.watch_restarts.subscribe();
+    let mut reports = shared.store_report.subscribe();
     let mut revision = None;
     let mut behind_since = None;
     loop {
-        let word = *words.borrow_and_update();
-        let known = shared.known_runners();
-        let stands_until = word.stands_until(shared.now());
-        let stands_until = stands_until.or_else(|| starts_until(&shared, word, known.is_some()));
-        if let (Some(until), Some(known)) = (stands_until, known) {
+        let report = *reports.borrow_and_update();
+        let known = shared.known_runners_revision();
+        let valid_until = report.valid_until(shared.now());
+        let valid_until = valid_until.or_else(|| startup_until(&shared, report, known.is_some()));
+        if let (Some(until), Some(known)) = (valid_until, known) {
             revision = None;
-            if known >= word.membership_revision {
+            if known >= report.membership_revision {
                 behind_since = None;
-                wait_for_word(&shared, &mut words, until).await;
+                wait_for_report(&shared, &mut reports, until).await;
                 continue;
             }
-            let patience = shared.settings.news_bound.mul_f64(UPDATE_PATIENCE_SHARE);
-            let read_at = *behind_since.get_or_insert(shared.now()) + patience;
-            let read_at = read_at.max(starts_until(&shared, word, true).unwrap_or(read_at));
+            let max_wait = shared
+                .settings
+                .propagation_bound
+                .mul_f64(UPDATE_TIMEOUT_SHARE);
+            let read_at = *behind_since.get_or_insert(shared.now()) + max_wait;
+            let read_at = read_at.max(startup_until(&shared, report, true).unwrap_or(read_at));
             if shared.now() < read_at {
-                wait_for_word(&shared, &mut words, until.min(read_at)).await;
+                wait_for_report(&shared, &mut reports, until.min(read_at)).await;
                 continue;
             }
         }
         behind_since = None;
         let Some(after) = revision else {
-            let freshness = first_freshness(&shared, word, known.is_some());
-            let cause = ReadCause::of(word, known, stands_until.is_some());
-            let take_page = |page: &[Runner]| take_first_pages(&shared, page);
+            let freshness = first_freshness(&shared, report, known.is_some());
+            let cause = ReadCause::of(report, known, valid_until.is_some());
+            let take_page = |page: &[Runner]| insert_first_pages(&shared, page);
             match shared.store.runners_by_page(freshness, &take_page).await {
                 Ok(listing) => {
                     backoff.succeeded(&shared);
-                    shared.note_store_seen();
-                    shared.note_store_era(listing.revision);
-                    if word.watches_for_others() {
+                    shared.record_store_answer();
+                    shared.record_store_era(listing.revision);
+                    if report.watches_for_others() {
                         catch_up(&shared, listing.revision).await;
                     }
                     revision = Some(listing.revision);
                     replace_runners(&shared, listing, cause);
-                    if backoff.pause_if_careful(&shared).await {
+                    if backoff.pause_before_relist(&shared).await {
                         revision = None;
                     }
                 }
@@ -92,22 +96,22 @@
         };
         restarts.mark_unchanged();
         let read = tokio::select! {
-            read = shared.store.watch_runners(after, watch_wait(word)) => read,
+            read = shared.store.watch_runners(after, watch_wait(report)) => read,
             _ = restarts.changed() => {
                 revision = None;
                 continue;
             }
-            _ = words.wait_for(|new| changes_mode(&shared, word, *new)) => continue,
+            _ = reports.wait_for(|new| changes_mode(&shared, report, *new)) => continue,
         };
         match read {
-            Ok(changes) if !goes_on(after, changes.revision) => {
-                shared.note_store_era(changes.revision);
+            Ok(changes) if !is_same_era(after, changes.revision) => {
+                shared.record_store_era(changes.revision);
                 log_history_gone(&shared, "store/runners");
                 revision = None;
             }
             Ok(changes) => {
                 backoff.succeeded(&shared);
-                shared.note_store_seen();
+                shared.record_store_answer();
                 revision = Some(changes.revision);
                 if !changes.items.is_empty() {
                     apply_changes(&shared, changes);
@@ -126,19 +130,22 @@
     }
 }
 
-/// Hears of all changes since those that are known, up to a list. A coordinator tells them to the others;
-/// from a list alone it would not know of runners that came and went.
+/// Applies all changes between the known revision and a list. A coordinator announces them to the
+/// others; the list alone would not show runners that were added and removed in between.
 async fn catch_up(shared: &Shared, listed_at: StoreRevision) {
-    let Some(known) = shared.known_runners().map(StoreRevision::from_ordered) else {
+    let Some(known) = shared
+        .known_runners_revision()
+        .map(StoreRevision::from_ordered)
+    else {
         return;
     };
-    if known.number >= listed_at.number || !goes_on(known, listed_at) {
+    if known.number >= listed_at.number || !is_same_era(known, listed_at) {
         return;
     }
     let watch = shared.store.watch_runners(known, CATCH_UP_WAIT);
     if let Ok(Ok(changes)) = timeout(CATCH_UP_TIMEOUT, watch).await
         && changes.revision >= listed_at
-        && goes_on(listed_at, changes.revision)
+        && is_same_era(listed_at, changes.revision)
     {
         apply_changes(shared, changes);
     }
@@ -147,30 +154,31 @@
 /// Why the list of runners was read, for the log.
 #[derive(Clone, Copy, Debug)]
 enum ReadCause {
-    /// The daemon knew no list.
+    /// The daemon had no list.
     Start,
-    /// It was told of changes that it was not told.
+    /// A newer revision was announced whose changes it did not receive.
     Behind,
-    /// It watches for others.
+    /// It watches the store for others.
     Watcher,
-    /// Nobody who watches was heard.
+    /// No daemon that watches the store has sent a report.
     Silence,
 }
 
 impl ReadCause {
-    fn of(word: StoreWord, known: Option<u64>, stands: bool) -> Self {
+    fn of(report: StoreReport, known: Option<u64>, is_report_valid: bool) -> Self {
         match known {
             None => Self::Start,
-            Some(_) if stands => Self::Behind,
-            Some(_) if word.watches_for_others() => Self::Watcher,
+            Some(_) if is_report_valid => Self::Behind,
+            Some(_) if report.watches_for_others() => Self::Watcher,
             Some(_) => Self::Silence,
         }
     }
 }
 
-/// Takes in a part of the list while this daemon knows no list yet. In a large fleet all daemons may have started at
-/// once, and the store's link takes seconds to tell each of them all pages; with the first one a daemon serves.
-fn take_first_pages(shared: &Shared, page: &[Runner]) {
+/// Applies a page of the list while this daemon has no list yet. In a large fleet all daemons may
+/// have started at once, and the store's link takes seconds to send all pages to each; a daemon can
+/// serve with the first page.
+fn insert_first_pages(shared: &Shared, page: &[Runner]) {
     let mut tables = shared.tables();
     if tables.runners_known {
         return;
@@ -180,7 +188,7 @@
     }
     tables.has_first_page = true;
     drop(tables);
-    take_in_spells(shared);
+    update_cold_periods(shared);
     let fields: &[(&str, &dyn std::fmt::Display)] = &[("runners", &page.len())];
     shared
         .log
@@ -190,7 +198,7 @@
 
 fn replace_runners(shared: &Shared, listing: Listing<Runner>, cause: ReadCause) {
     let count = listing.items.len();
-    shared.note_unreadable(ObjectKind::Runner, &listing.unreadable);
+    shared.record_unreadable(ObjectKind::Runner, &listing.unreadable);
     let revision = listing.revision.ordered();
     let is_incomplete = shared.is_store_incomplete();
     let mut tables = shared.tables();
@@ -202,7 +210,7 @@
         tables.runners.replace(listing.items, revision);
     }
     tables.runners_known = true;
-    tables.forget_gone_runners();
+    tables.drop_removed_runners();
     drop(tables);
     let fields: &[(&str, &dyn std::fmt::Display)] = &[
         ("runners", &count),
@@ -211,13 +219,13 @@
         ("cause", &format!("{cause:?}")),
     ];
     shared.log.write(shared.now(), "runners-listed", fields);
-    take_in_spells(shared);
-    after_change(shared);
+    update_cold_periods(shared);
+    notify_change(shared);
 }
 
-/// Takes in changes of runners that another daemon has told, which knows them up to a revision. Returns false if
-/// changes before them are missing.
-pub(crate) fn take_membership(shared: &Shared, update: MembershipUpdate, known: u64) -> bool {
+/// Applies changes of runners from another daemon, which knows them up to revision `known`. Returns
+/// false if earlier changes are missing.
+pub(crate) fn apply_membership(shared: &Shared, update: MembershipUpdate, known: u64) -> bool {
     let revision = update.until;
     let mut tables = shared.tables();
     let Some(changed) = tables.runners.update(update) else {
@@ -227,13 +235,13 @@
     if changed.is_empty() {
         return true;
     }
-    tables.forget_gone_runners();
+    tables.drop_removed_runners();
     drop(tables);
     for runner in &changed {
         log_runner(shared, runner, revision, "coordinator");
     }
-    take_in_spells(shared);
-    after_change(shared);
+    update_cold_periods(shared);
+    notify_change(shared);
     true
 }
 
@@ -259,30 +267,32 @@
                 remove_runner(&mut tables.runners, RunnerName::new(&name), revision)
             }
         };
-        let is_news = tables.runners.membership_revision() != before;
+        let is_changed = tables.runners.membership_revision() != before;
         drop(tables);
-        if is_news {
+        if is_changed {
             log_runner(shared, &id, revision, "store");
         }
     }
-    shared.note_unreadable(ObjectKind::Runner, &unreadable);
-    // Members may be told of all up to this revision from now on, so spells must be noted before.
-    take_in_spells(shared);
+    shared.record_unreadable(ObjectKind::Runner, &unreadable);
+    // Once the revision is set, members may be sent all changes up to it, so cold periods must be
+    // recorded first.
+    update_cold_periods(shared);
     let mut tables = shared.tables();
     tables.runners.set_revision(revision);
-    tables.forget_gone_runners();
+    tables.drop_removed_runners();
     drop(tables);
-    after_change(shared);
+    notify_change(shared);
 }
 
-/// Removes a runner. Returns the life of it that was known.
+/// Removes a runner. Returns the incarnation that was known.
 fn remove_runner(runners: &mut RunnerTable, name: RunnerName, revision: u64) -> RunnerId {
     let known = runners.get_by_name(&name).map(|runner| runner.id.clone());
     runners.remove(&name, revision);
     known.unwrap_or_else(|| RunnerId::from_parts(name, None))
 }
 
-/// Logs that a life of a runner has come, gone, or begun to drain, and who has told it.
+/// Logs that an incarnation of a runner was added, removed, or is draining, and the source of the
+/// change.
 fn log_runner(shared: &Shared, id: &RunnerId, revision: u64, source: &str) {
     let runner = shared.tables().runners.get(id).cloned();
     let state = match &runner {
@@ -303,13 +313,13 @@
     shared.log.write(shared.now(), "runner-state", fields);
 }
 
-/// Wakes those who wait, and closes connections to lives of runners that are over.
-fn after_change(shared: &Shared) {
-    let mut lives = Lives::new();
+/// Wakes waiting requests, and closes connections to ended incarnations of runners.
+fn notify_change(shared: &Shared) {
+    let mut incarnations = Lives::new();
     for runner in shared.tables().runners.iter() {
-        let at_address = lives.entry(runner.address).or_default();
+        let at_address = incarnations.entry(runner.address).or_default();
         at_address.insert(runner.id.clone());
     }
-    shared.pool.sweep(lives);
+    shared.pool.sweep(incarnations);
     shared.changed.notify_waiters();
 }
--- a/crates/ingress/tests/ingress/access.rs
+++ b/crates/ingress/tests/ingress/access.rs
@@ -14,17 +14,17 @@
     ObedientControl, SilentControl, TestIngress, configuration_with, runner, settings, tenant,
 };
 
-/// For how long the daemons of these tests rely on keys without a word.
-const TRUST: Duration = Duration::from_millis(2_500);
+/// For how long the daemons in these tests rely on keys without confirmation.
+const KEY_TRUST: Duration = Duration::from_millis(2_500);
 
-/// Time until a coordinator is there and has told everybody.
-const COORDINATED: Duration = Duration::from_millis(1_500);
+/// Time until a coordinator is elected and has announced itself to all daemons.
+const COORDINATION_TIME: Duration = Duration::from_millis(1_500);
 
 async fn daemon(name: &str, store: MemoryStore) -> TestIngress {
     let mut settings = settings(name);
     settings.key_trust = KeyTrust {
-        known: Some(TRUST),
-        unknown: Some(TRUST),
+        known: Some(KEY_TRUST),
+        unknown: Some(KEY_TRUST),
     };
     let test = TestIngress::start_with(settings, store, Arc::new(ObedientControl::default())).await;
     test.until_ready().await;
@@ -58,7 +58,8 @@
     assert_eq!(server.received()[0].header("x-tenant"), Some("b"));
     assert_eq!(server.received()[0].header("x-key"), None);
 
-    // Headers that the client names as its connection's own are not passed on, and ours are set after that.
+    // Headers that the client lists in `connection` are dropped, and the daemon's own are set
+    // afterwards.
     let request = test.request("/safe/", "id-2").header("x-key", "ka");
     let request = request
         .header("connection", "x-tenant")
@@ -93,7 +94,7 @@
     assert_eq!(server.received()[1].header("x-key"), Some("k"));
 }
 
-/// A key may have been taken away from a daemon that hears nobody.
+/// A key may have been revoked without a disconnected daemon learning of it.
 #[tokio::test]
 async fn a_daemon_that_is_cut_off_serves_no_key_after_the_bound() {
     let server = ScriptedRunner::start(Vec::new()).await;
@@ -102,13 +103,13 @@
     let test = daemon("d", store).await;
     test.store.is_silent.store(true, Ordering::Relaxed);
     assert_eq!(status(&test, "/safe/", "id-1", Some("ka")).await, 200);
-    sleep(TRUST + Duration::from_millis(300)).await;
+    sleep(KEY_TRUST + Duration::from_millis(300)).await;
     let refused = test.request("/safe/", "id-2").header("x-key", "ka");
     let refused = refused.send().await.unwrap();
     assert_eq!(refused.status(), 503);
     assert!(refused.headers().contains_key("retry-after"));
     assert!(refused.text().await.unwrap().contains("7004"));
-    // Nor does it deny a key that may have been added.
+    // It must not deny a key that may have been added either.
     assert_eq!(status(&test, "/safe/", "id-3", Some("new")).await, 503);
     assert_eq!(status(&test, "/safe/", "id-4", None).await, 401);
     assert_eq!(status(&test, "/open/", "id-5", None).await, 200);
@@ -120,17 +121,17 @@
     assert_eq!(status(&test, "/safe/", "id-6", Some("ka")).await, 200);
 }
 
-/// Seen on a standard day: a daemon that the store turned away went on with keys that had been taken away, though it
-/// heard others that knew better all the time.
+/// Guards against a daemon that the store refuses to serve still accepting revoked keys although
+/// its peers have the newer configuration.
 #[tokio::test]
 async fn a_daemon_that_the_store_turns_away_gets_the_configuration_from_a_peer() {
     let server = ScriptedRunner::start(Vec::new()).await;
     let both = vec![tenant("a", &["ka"], None), tenant("b", &["kb"], None)];
     let store = store(&server, configuration_with(1, both));
     let first = daemon("a", store.share()).await;
-    sleep(COORDINATED).await;
+    sleep(COORDINATION_TIME).await;
     let second = daemon("b", store.share()).await;
-    sleep(COORDINATED).await;
+    sleep(COORDINATION_TIME).await;
 
     second.store.is_silent.store(true, Ordering::Relaxed);
     let less = vec![tenant("a", &["ka2"], None)];
@@ -138,30 +139,31 @@
     sleep(Duration::from_millis(1_500)).await;
     assert_eq!(status(&second, "/safe/", "id-1", Some("kb")).await, 401);
     assert_eq!(status(&second, "/safe/", "id-2", Some("ka2")).await, 200);
-    // It stays in touch by the peer for as long as that hears the store.
-    sleep(TRUST + Duration::from_millis(500)).await;
+    // The peer confirms the configuration for as long as the peer itself reaches the store.
+    sleep(KEY_TRUST + Duration::from_millis(500)).await;
     assert_eq!(status(&second, "/safe/", "id-3", Some("ka2")).await, 200);
-    // Then neither of them knows.
+    // After that, neither can confirm the configuration.
     first.store.is_silent.store(true, Ordering::Relaxed);
-    sleep(TRUST + Duration::from_millis(1_000)).await;
+    sleep(KEY_TRUST + Duration::from_millis(1_000)).await;
     assert_eq!(status(&second, "/safe/", "id-4", Some("ka2")).await, 503);
 }
 
-/// Listed as open before: a daemon that restarts while the store turns it away had no configuration.
+/// Guards against a daemon that restarts while the store refuses to serve it and so has no
+/// configuration.
 #[tokio::test]
 async fn a_daemon_that_starts_while_the_store_turns_it_away_is_told_by_the_next_coordinator() {
     let server = ScriptedRunner::start(Vec::new()).await;
     let tenants = vec![tenant("a", &["ka"], None)];
     let store = store(&server, configuration_with(1, tenants));
     let mut first = daemon("a", store.share()).await;
-    sleep(COORDINATED).await;
+    sleep(COORDINATION_TIME).await;
     let mut second_settings = settings("b");
-    second_settings.key_trust.known = Some(TRUST);
+    second_settings.key_trust.known = Some(KEY_TRUST);
     let control = Arc::new(SilentControl);
     let second = TestIngress::start_with(second_settings.clone(), store.share(), control.clone());
     let mut second = second.await;
     second.until_ready().await;
-    // Longer than the coordinator takes to write down whom it hears.
+    // Longer than the coordinator takes to record its known daemons.
     sleep(Duration::from_millis(5_500)).await;
 
     second_settings.peer_listen = second.ingress.as_ref().unwrap().peer_address;
@@ -186,9 +188,9 @@
     ];
     let store = store(&server, configuration_with(1, tenants));
     let first = daemon("a", store.share()).await;
-    sleep(COORDINATED).await;
+    sleep(COORDINATION_TIME).await;
     let second = daemon("b", store.share()).await;
-    // A coordinator that has just begun reckons with more daemons than it has heard.
+    // A coordinator that has just started assumes more daemons than have reported.
     sleep(Duration::from_millis(5_000)).await;
 
     let mut served = 0;
@@ -201,7 +203,7 @@
             other => panic!("{other}"),
         }
     }
-    // The bucket, and what has come in since the first request.
+    // The burst size plus the refill since the first request.
     assert!(
         (8..=25).contains(&served),
         "{served} served, {refused} refused"
--- a/crates/ingress/tests/ingress/cold_runners.rs
+++ b/crates/ingress/tests/ingress/cold_runners.rs
@@ -1,4 +1,4 @@
-//! Requests for runners that are cold, at several daemons.
+//! Requests to cold runners from several daemons.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -20,16 +20,16 @@
     rate_factor: 1.5,
     slack: 2.0,
 };
-/// Requests that a cold runner may get in a second: 4 x 1.5 + 2.
+/// Maximum requests to a cold runner per second: 4 x 1.5 + 2.
 const BOUND: usize = 8;
-const SPELL: Duration = Duration::from_secs(6);
+const COLD_PERIOD: Duration = Duration::from_secs(6);
 const REQUESTS: usize = 20;
 const EVACUATION_BOUND: Duration = Duration::from_secs(2);
 
 fn configuration() -> Configuration {
     let mut service = service();
     service.cold_start = Some(ColdStart {
-        duration: SPELL,
+        duration: COLD_PERIOD,
         requests_per_second: RATE,
     });
     let route = route("/safe/", RouteKind::Repeatable);
@@ -44,7 +44,7 @@
     }
 }
 
-/// Two daemons before one runner, and their store.
+/// Two daemons with one warm runner, and their store.
 async fn warm_daemons(server: &ScriptedRunner) -> (Vec<TestIngress>, MemoryStore) {
     let store = MemoryStore::default();
     store.set_runners(vec![entry(server, 1, Duration::ZERO)]);
@@ -63,10 +63,10 @@
     (daemons, store)
 }
 
-/// Two daemons before one runner that is cold.
+/// Two daemons with one cold runner.
 async fn daemons(server: &ScriptedRunner) -> Vec<TestIngress> {
     let (daemons, store) = warm_daemons(server).await;
-    store.set_runners(vec![entry(server, 10, SPELL)]);
+    store.set_runners(vec![entry(server, 10, COLD_PERIOD)]);
     sleep(Duration::from_millis(900)).await;
     daemons
 }
@@ -78,21 +78,21 @@
     after: Duration,
 }
 
-/// Sends requests to all daemons at once.
+/// Sends requests to all daemons concurrently.
 async fn burst(daemons: &[TestIngress]) -> Vec<Answer> {
     let mut requests = JoinSet::new();
-    for (place, daemon) in daemons.iter().enumerate() {
+    for (index, daemon) in daemons.iter().enumerate() {
         for number in 0..REQUESTS {
-            let request = daemon.request("/safe/x", &format!("id-{place}-{number}"));
+            let request = daemon.request("/safe/x", &format!("id-{index}-{number}"));
             let request = request.header("x-model", crate::support::MODEL);
             requests.spawn(async move {
-                let begun = Instant::now();
+                let started = Instant::now();
                 let response = request.send().await.unwrap();
                 let retry_after = response.headers().get("retry-after");
                 Answer {
                     status: response.status().as_u16(),
                     retry_after: retry_after.map(|it| it.to_str().unwrap().parse().unwrap()),
-                    after: begun.elapsed(),
+                    after: started.elapsed(),
                 }
             });
         }
@@ -100,8 +100,8 @@
     requests.join_all().await
 }
 
-/// The most requests that a runner got in any second.
-fn most_in_a_second(server: &ScriptedRunner) -> usize {
+/// The maximum number of requests that a runner received in any second.
+fn peak_per_second(server: &ScriptedRunner) -> usize {
     let received: Vec<Instant> = server.received().iter().map(|it| it.at).collect();
     let count = |from: &Instant| {
         let within =
@@ -111,22 +111,23 @@
     received.iter().map(count).max().unwrap_or(0)
 }
 
-/// Seen on days on which runners turn cold: each daemon preferred others, and together they sent too much.
+/// Guards against exceeding a cold runner's limit in total although each daemon on its own prefers
+/// other runners.
 #[tokio::test]
 async fn a_cold_runner_gets_no_more_than_its_bound_from_all_daemons() {
     let server = ScriptedRunner::start(Vec::new()).await;
     let daemons = daemons(&server).await;
     let answers = burst(&daemons).await;
     let served = answers.iter().filter(|it| it.status == 200).count();
-    let most = most_in_a_second(&server);
-    assert!(most <= BOUND, "{most} in a second");
+    let peak = peak_per_second(&server);
+    assert!(peak <= BOUND, "{peak} in a second");
     assert!(served >= 4, "{served} served");
     assert_eq!(served, server.received().len());
 }
 
-/// Answers to a burst in which the runtime of the test never stood still for so long that permits could end unused: a request
-/// that has waited for its permit is then refused late, as it must be.
-async fn answers_without_standstill() -> Vec<Answer> {
+/// Answers to a burst during which the test's runtime never stalled long enough for permits to
+/// expire unused: a request that waited for such a permit is refused late, as it must be.
+async fn answers_without_stall() -> Vec<Answer> {
     const TRIES: usize = 10;
     for _ in 0..TRIES {
         let server = ScriptedRunner::start(Vec::new()).await;
@@ -137,14 +138,15 @@
             return answers;
         }
     }
-    panic!("the runtime stood still in each of {TRIES} tries");
+    panic!("the runtime stalled in each of {TRIES} tries");
 }
 
-/// Seen in a trial: requests whose runners were all kept from them looked again without a pause, and all processor time
-/// went there. Here such a loop would never end, since the tests' runtime has one thread.
+/// Guards against a busy loop: requests for which every runner was withheld retried without a pause
+/// and used up all processor time. Here such a loop would never end, since the test runtime has one
+/// thread.
 #[tokio::test]
-async fn what_cold_runners_cannot_take_in_time_is_refused_at_once() {
-    let answers = answers_without_standstill().await;
+async fn requests_that_cold_runners_cannot_serve_in_time_are_refused_at_once() {
+    let answers = answers_without_stall().await;
     let refused: Vec<&Answer> = answers.iter().filter(|it| it.status != 200).collect();
     assert!(!refused.is_empty());
     for answer in refused {
@@ -158,9 +160,9 @@
     }
 }
 
-/// The runners of a zone that was evacuated may have turned cold meanwhile, whatever their entries say.
+/// Runners of an evacuated zone may have turned cold meanwhile, whatever their entries say.
 #[tokio::test]
-async fn a_zone_that_comes_back_counts_as_cold_for_a_spell() {
+async fn a_returned_zone_counts_as_cold_for_a_cold_period() {
     let server = ScriptedRunner::start(Vec::new()).await;
     let (daemons, store) = warm_daemons(&server).await;
     store.set_evacuated(&["z0"]);
@@ -169,6 +171,6 @@
     sleep(EVACUATION_BOUND).await;
     let answers = burst(&daemons).await;
     assert!(answers.iter().any(|it| it.status == 200));
-    let most = most_in_a_second(&server);
-    assert!(most <= BOUND, "{most} in a second");
+    let peak = peak_per_second(&server);
+    assert!(peak <= BOUND, "{peak} in a second");
 }
--- a/crates/ingress/tests/ingress/homes.rs
+++ b/crates/ingress/tests/ingress/homes.rs
@@ -17,25 +17,26 @@
     MODEL, SilentControl, TestIngress, configuration, route, runner, settings, tenant,
 };
 
-/// Time in which a daemon that watches the store takes in a change of the configuration.
-const CHANGED: Duration = Duration::from_millis(500);
+/// Time within which a daemon that watches the store applies a change of the configuration.
+const PROPAGATION_TIME: Duration = Duration::from_millis(500);
 
 fn homes(names: &[&str]) -> Homes {
     Homes::from_regions(names.iter().map(|name| Region::new(name)))
 }
 
-/// A target with which a request waits for some tenths of a second, though no coordinator promises anything.
-const PATIENT: Duration = Duration::from_secs(3);
+/// A target that lets a request wait for some tenths of a second without a promise of a
+/// coordinator.
+const LONG_TARGET: Duration = Duration::from_secs(3);
 
-fn bound_route(prefix: &str, kind: RouteKind, names: &[&str]) -> Route {
+fn restricted_route(prefix: &str, kind: RouteKind, names: &[&str]) -> Route {
     Route {
-        target: PATIENT,
+        target: LONG_TARGET,
         homes: homes(names),
         ..route(prefix, kind)
     }
 }
 
-fn bound_tenant(name: &str, names: &[&str]) -> TenantKeys {
+fn restricted_tenant(name: &str, names: &[&str]) -> TenantKeys {
     let free = tenant(name, &[name], None);
     TenantKeys {
         tenant: Arc::new(Tenant {
@@ -46,31 +47,31 @@
     }
 }
 
-/// Routes to serve anywhere, in the east, and in a region without runners; tenants likewise.
-fn bound_configuration(version: u64, stream_homes: &[&str]) -> Configuration {
+/// Routes without home regions, with the east, and with a region without runners; tenants likewise.
+fn restricted_configuration(version: u64, stream_homes: &[&str]) -> Configuration {
     let stream = RouteKind::Stream { resumable: true };
     let routes = vec![
-        bound_route("/east/", RouteKind::Repeatable, &["east"]),
-        bound_route("/south/", RouteKind::Repeatable, &["south"]),
+        restricted_route("/east/", RouteKind::Repeatable, &["east"]),
+        restricted_route("/south/", RouteKind::Repeatable, &["south"]),
         Route {
             is_public: true,
-            ..bound_route("/open/", RouteKind::Repeatable, &[])
+            ..restricted_route("/open/", RouteKind::Repeatable, &[])
         },
         Route {
             timeout: Duration::from_secs(6),
             target: Duration::from_millis(300),
-            ..bound_route("/events/", stream, stream_homes)
+            ..restricted_route("/events/", stream, stream_homes)
         },
     ];
     let tenants = vec![
-        bound_tenant("free", &[]),
-        bound_tenant("east", &["east", "north"]),
-        bound_tenant("west", &["west"]),
+        restricted_tenant("free", &[]),
+        restricted_tenant("east", &["east", "north"]),
+        restricted_tenant("west", &["west"]),
     ];
     configuration(version, routes).with_tenants(Tenants::new(tenants).unwrap())
 }
 
-/// A daemon in the west before runners in the zones named.
+/// A daemon in the west, with runners in the given zones.
 async fn daemon(runners: &[(&ScriptedRunner, &str)], configuration: Configuration) -> TestIngress {
     daemon_in("w1", runners, configuration).await
 }
@@ -109,9 +110,9 @@
 async fn a_request_is_served_within_its_homes_and_refused_at_once_if_it_has_none() {
     let west = ScriptedRunner::start(Vec::new()).await;
     let east = ScriptedRunner::start(Vec::new()).await;
-    let untold = ScriptedRunner::start(Vec::new()).await;
-    let servers = [(&west, "w1"), (&east, "e1"), (&untold, "u1")];
-    let test = daemon(&servers, bound_configuration(1, &[])).await;
+    let unmapped = ScriptedRunner::start(Vec::new()).await;
+    let servers = [(&west, "w1"), (&east, "e1"), (&unmapped, "u1")];
+    let test = daemon(&servers, restricted_configuration(1, &[])).await;
     let cases = [
         ("/safe/", "free", 200, "west"),
         ("/safe/", "east", 200, "east"),
@@ -125,48 +126,52 @@
         ("/south/", "free", 503, "nowhere"),
         ("/south/", "east", 503, "nowhere"),
     ];
-    for (path, key, expected, place) in cases {
+    for (path, key, expected, served_in) in cases {
         let before = [west.received().len(), east.received().len()];
-        let begun = std::time::Instant::now();
+        let started = std::time::Instant::now();
         let request = test.request(path, "id").header("x-key", key);
         let response = request.send().await.unwrap();
         assert_eq!(response.status(), expected, "{path} of {key}");
-        let more = [
+        let added = [
             west.received().len() - before[0],
             east.received().len() - before[1],
         ];
-        let expected_more = match place {
+        let expected_added = match served_in {
             "west" => [1, 0],
             "east" => [0, 1],
             _ => [0, 0],
         };
-        assert_eq!(more, expected_more, "{path} of {key}");
+        assert_eq!(added, expected_added, "{path} of {key}");
         if expected == 503 {
             assert!(response.headers().contains_key("retry-after"));
             assert!(response.text().await.unwrap().contains("2013"));
-            assert!(begun.elapsed() < Duration::from_millis(250), "not at once");
+            assert!(
+                started.elapsed() < Duration::from_millis(250),
+                "not at once"
+            );
         }
     }
-    assert!(untold.received().is_empty());
+    assert!(unmapped.received().is_empty());
 }
 
-/// The runner abroad is well and holds the model, and the ones at home fail.
+/// The runner in another region is healthy and has loaded the model, and those in the home region
+/// fail.
 #[tokio::test]
-async fn repeats_and_continued_streams_stay_within_the_homes() {
+async fn retries_and_resumed_streams_stay_in_the_home_regions() {
     let breaking = vec![Behaviour::EventsThenReset(1, 2), Behaviour::NotRun];
     let first = ScriptedRunner::start(breaking).await;
     let second = ScriptedRunner::start(vec![Behaviour::NotRun, Behaviour::Events(3, 4)]).await;
-    let abroad = ScriptedRunner::start(Vec::new()).await;
-    let servers = [(&first, "e1"), (&second, "e2"), (&abroad, "w1")];
-    let test = daemon(&servers, bound_configuration(1, &["east"])).await;
+    let other_region = ScriptedRunner::start(Vec::new()).await;
+    let servers = [(&first, "e1"), (&second, "e2"), (&other_region, "w1")];
+    let test = daemon(&servers, restricted_configuration(1, &["east"])).await;
     for path in ["/events/", "/east/"] {
         let request = test.request(path, "id").header("x-key", "free");
         let _ = request.send().await.unwrap().text().await;
     }
-    assert!(abroad.received().is_empty());
+    assert!(other_region.received().is_empty());
     assert!(
         first.received().len() + second.received().len() >= 3,
-        "nothing was repeated"
+        "nothing was retried"
     );
 }
 
@@ -176,20 +181,20 @@
     let next = ScriptedRunner::start(vec![Behaviour::Events(3, 4)]).await;
     let west = ScriptedRunner::start(vec![Behaviour::Events(1, 2)]).await;
     let servers = [(&silent, "e1"), (&next, "e2"), (&west, "w1")];
-    // The daemon asks the runner of its own zone first.
-    let test = daemon_in("e1", &servers, bound_configuration(1, &["east"])).await;
+    // The daemon prefers the runner of its own zone.
+    let test = daemon_in("e1", &servers, restricted_configuration(1, &["east"])).await;
     let request = test.request("/events/", "id").header("x-key", "free");
     let running = tokio::spawn(async move { request.send().await.unwrap().text().await });
     sleep(Duration::from_millis(300)).await;
-    // The home moves to the west while the stream runs in the east.
+    // The home region moves to the west while the stream runs in the east.
     test.store
-        .set_configuration(bound_configuration(2, &["west"]));
-    sleep(CHANGED).await;
+        .set_configuration(restricted_configuration(2, &["west"]));
+    sleep(PROPAGATION_TIME).await;
     assert_eq!(status(&test, "/events/", "free").await, 200);
     assert_eq!(
         west.received().len(),
         1,
-        "the new homes bind what comes now"
+        "new requests use the new home regions"
     );
     let events = running.await.unwrap().unwrap();
     assert!(events.ends_with("id: 4\ndata: e4\n\n"), "{events}");
@@ -197,9 +202,10 @@
     assert_eq!(next.received().len(), 1);
 }
 
-/// The homes change while a request waits for a model that a runner abroad comes to hold.
+/// The home regions change while a request waits for a model that a runner in another region then
+/// loads.
 #[tokio::test]
-async fn a_request_that_waits_is_not_served_abroad_when_its_homes_change() {
+async fn a_waiting_request_is_not_served_in_another_region_when_its_homes_change() {
     let east = ScriptedRunner::start(Vec::new()).await;
     let west = ScriptedRunner::start(Vec::new()).await;
     let lacking = |index: usize, server: &ScriptedRunner, zone: &str| Runner {
@@ -207,19 +213,23 @@
         holdings: [].into(),
         ..runner(index, server.address)
     };
-    let test = daemon(&[(&east, "e1"), (&west, "w1")], bound_configuration(1, &[])).await;
+    let test = daemon(
+        &[(&east, "e1"), (&west, "w1")],
+        restricted_configuration(1, &[]),
+    )
+    .await;
     let runners = vec![lacking(0, &east, "e1"), lacking(1, &west, "w1")];
     test.store.set_runners(runners);
-    sleep(CHANGED).await;
+    sleep(PROPAGATION_TIME).await;
     let request = test.request("/east/", "id").header("x-key", "free");
     let request = request.header("x-model", MODEL);
     let waiting = tokio::spawn(async move { request.send().await.unwrap().status().as_u16() });
     sleep(Duration::from_millis(20)).await;
-    let mut moved = bound_configuration(2, &[]);
+    let mut moved = restricted_configuration(2, &[]);
     moved = Configuration::new(
         2,
         moved.limits,
-        vec![bound_route("/east/", RouteKind::Repeatable, &["west"])],
+        vec![restricted_route("/east/", RouteKind::Repeatable, &["west"])],
         vec![
             moved
                 .service(&ServiceName::new("pool"))
--- a/crates/ingress/tests/ingress/lives.rs
+++ b/crates/ingress/tests/ingress/incarnations.rs
@@ -1,4 +1,4 @@
-//! Runners that start again under their names, and entries that can't be read beside good ones.
+//! Runners that restart under the same name, and unreadable entries beside valid ones.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,8 +11,9 @@
 use crate::store::MemoryStore;
 use crate::support::{ObedientControl, RARE_MODEL, TestIngress, configuration, runner};
 
-/// Time in which a daemon that watches the store has heard of a change and settled it with reports.
-const SETTLED: Duration = Duration::from_millis(1_500);
+/// Time within which a daemon that watches the store has applied a change and confirmed it with
+/// reports.
+const CONFIRMATION_TIME: Duration = Duration::from_millis(1_500);
 
 fn start(millis: u64) -> RunnerStart {
     RunnerStart::from_millis(millis).unwrap()
@@ -23,37 +24,42 @@
     request.send().await.unwrap().status().as_u16()
 }
 
-/// What the first life had loaded is loaded again before the second gets a request for it, by orders that count from the
-/// beginning.
+/// What the first incarnation had loaded is loaded again before the second gets a request for it,
+/// by orders whose numbers start over.
 #[tokio::test]
-async fn nothing_of_a_life_that_is_over_is_believed() {
+async fn state_of_an_ended_incarnation_is_discarded() {
     let server = ScriptedRunner::start(vec![Behaviour::Events(1, 2); 2]).await;
-    let life = |millis: u64| Runner {
+    let incarnation = |millis: u64| Runner {
         id: RunnerId::with_start("r0", start(millis)),
         ..runner(0, server.address)
     };
     let control = Arc::new(ObedientControl::default());
     control.restart(start(5));
     let store = MemoryStore::default();
-    store.set_runners(vec![life(5)]);
+    store.set_runners(vec![incarnation(5)]);
     store.set_configuration(configuration(1, Vec::new()));
     let test = TestIngress::start_before("d", store, control.clone()).await;
     test.until_ready().await;
-    sleep(SETTLED).await;
+    sleep(CONFIRMATION_TIME).await;
     assert_eq!(status(&test, "id-1").await, 200);
     assert_eq!(*control.expected.lock().unwrap(), [0]);
 
     control.restart(start(9));
-    test.store.set_runners(vec![life(9)]);
-    sleep(SETTLED).await;
+    test.store.set_runners(vec![incarnation(9)]);
+    sleep(CONFIRMATION_TIME).await;
     assert_eq!(status(&test, "id-2").await, 200);
     assert_eq!(*control.expected.lock().unwrap(), [0, 0]);
-    assert_eq!(control.order_count(), 1, "the second life has loaded it");
+    assert_eq!(
+        control.order_count(),
+        1,
+        "the second incarnation has loaded it"
+    );
 }
 
-/// Reports of the next life come before its entry: they settle nothing, and no order goes to a life that is over.
+/// Reports of the next incarnation arrive before its entry: they confirm nothing, and no order goes
+/// to the ended incarnation.
 #[tokio::test]
-async fn a_runner_gets_no_order_while_another_life_of_it_reports() {
+async fn a_runner_gets_no_order_while_another_incarnation_of_it_reports() {
     let server = ScriptedRunner::start(vec![Behaviour::Events(1, 2)]).await;
     let listed = Runner {
         id: RunnerId::with_start("r0", start(5)),
@@ -66,12 +72,12 @@
     store.set_configuration(configuration(1, Vec::new()));
     let test = TestIngress::start_before("d", store, control.clone()).await;
     test.until_ready().await;
-    sleep(SETTLED).await;
+    sleep(CONFIRMATION_TIME).await;
     assert_eq!(status(&test, "id-1").await, 503);
     assert_eq!(control.order_count(), 0);
 }
 
-/// Requests go on being served; none goes to the runner whose entry was written over.
+/// Requests are still served; none goes to the runner whose entry was overwritten.
 #[tokio::test]
 async fn an_entry_that_cannot_be_read_costs_its_runner_alone() {
     let near = ScriptedRunner::start(Vec::new()).await;
@@ -81,7 +87,7 @@
     assert_eq!(send("id-1").await, 200);
     assert_eq!((near.received().len(), far.received().len()), (1, 0));
     test.store.overwrite_runner("r0");
-    sleep(SETTLED).await;
+    sleep(CONFIRMATION_TIME).await;
     for id in ["id-2", "id-3", "id-4"] {
         assert_eq!(send(id).await, 200);
     }
@@ -95,32 +101,33 @@
     assert_eq!((response.status().as_u16(), far.received().len()), (200, 4));
 }
 
-/// A connection to a life that is over would break with the next request on it. Others stay, also when a life that has
-/// ended is still listed beside the next one at its address and then goes.
+/// An idle connection to an ended incarnation would break with its next request. Other connections
+/// stay open, also when an ended incarnation is still listed beside the next one at its address and
+/// is then removed.
 #[tokio::test]
-async fn idle_connections_end_with_the_life_that_they_go_to() {
+async fn idle_connections_close_with_the_incarnation_they_go_to() {
     let server = ScriptedRunner::start(Vec::new()).await;
-    let life = |name: &str, millis: u64| Runner {
+    let incarnation = |name: &str, millis: u64| Runner {
         id: RunnerId::with_start(name, start(millis)),
         ..runner(0, server.address)
     };
     let test = TestIngress::start_unconfigured().await;
-    test.store.set_runners(vec![life("r0", 5)]);
+    test.store.set_runners(vec![incarnation("r0", 5)]);
     test.store.set_configuration(configuration(1, Vec::new()));
     test.until_ready().await;
-    let heard = Duration::from_millis(900);
-    // Who is listed at the address next, and the connections that end with this.
+    let propagation_time = Duration::from_millis(900);
+    // Runners listed at the address next, and the number of connections that this closes.
     let steps = [
-        (vec![life("r0", 5), life("r9", 5)], 1),
-        (vec![life("r9", 5)], 0),
-        (vec![life("r9", 9)], 1),
+        (vec![incarnation("r0", 5), incarnation("r9", 5)], 1),
+        (vec![incarnation("r9", 5)], 0),
+        (vec![incarnation("r9", 9)], 1),
     ];
     for (index, (runners, expected)) in steps.into_iter().enumerate() {
         let before = server.closed();
         let response = test.request("/safe/", &format!("id-{index}")).send();
         assert_eq!(response.await.unwrap().status(), 200);
         test.store.set_runners(runners);
-        sleep(heard).await;
+        sleep(propagation_time).await;
         assert_eq!(server.closed() - before, expected, "step {index}");
     }
 }
--- a/crates/ingress/tests/ingress/leaving_runners.rs
+++ b/crates/ingress/tests/ingress/leaving_runners.rs
@@ -1,9 +1,10 @@
-//! Runners that say in their answers that they leave.
+//! Runners that announce in their answers that they are leaving.
 //!
-//! Seen: two requests reached a runner 2.9 s after it had said so in an answer that the same daemon had passed on. The store
-//! did not answer meanwhile, so that no list told it. The list was all that daemons believed: these tests, with a list that
-//! never tells it, failed on that code. What a runner says of itself counts beside the list now, for the daemon that was
-//! told, for all others, and for the coordinator that places models.
+//! Guards against requests to a runner after its leaving notice: two requests reached a runner 2.9
+//! s after the notice, in an answer that the same daemon had forwarded. Daemons relied on the
+//! store's list alone, and the store did not answer in between. These tests, whose list never shows
+//! the runner as leaving, failed on that code. A notice now counts beside the list: at the daemon
+//! that received it, at all others, and at the coordinator that places models.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -20,8 +21,8 @@
 };
 
 const LEAVES: &str = "x-leaves: 1\r\n";
-/// Time in which one daemon's word reaches all others.
-const WORD: Duration = Duration::from_millis(500);
+/// Time within which an update of one daemon reaches all others.
+const PROPAGATION_TIME: Duration = Duration::from_millis(500);
 
 async fn daemon(name: &str, store: &MemoryStore, control: &Arc<ObedientControl>) -> TestIngress {
     let daemon = TestIngress::start_with(settings(name), store.share(), control.clone()).await;
@@ -42,8 +43,9 @@
     request.send().await.unwrap().status().as_u16()
 }
 
-/// Sends requests until one has reached a runner. Until a coordinator has told a daemon how many daemons there are, it assumes
-/// more than the runners have slots for, and takes a runner at random instead of the nearest.
+/// Sends requests until one has reached a runner. Until a coordinator has announced the number of
+/// daemons, a daemon assumes more of them than the runners have slots for, and picks a runner at
+/// random instead of the nearest.
 async fn send_until_reached(daemon: &TestIngress, runner: &ScriptedRunner) {
     const TRIES: usize = 200;
     for number in 0..TRIES {
@@ -56,7 +58,7 @@
 }
 
 #[tokio::test]
-async fn a_runner_that_has_said_that_it_leaves_gets_nothing_more() {
+async fn a_runner_that_announced_leaving_gets_no_more_requests() {
     let (leaving, other) = (
         ScriptedRunner::start(Vec::new()).await,
         ScriptedRunner::start(Vec::new()).await,
@@ -67,7 +69,7 @@
     send_until_reached(&daemon, &leaving).await;
     assert_eq!(leaving.received().len(), 1);
     let before = other.received().len();
-    // What it says of itself stands also where it says nothing more.
+    // The notice stays in effect when later answers carry none.
     leaving.set_notice("");
     for number in 0..10 {
         assert_eq!(status(&daemon, &format!("id-{number}"), MODEL).await, 200);
@@ -77,7 +79,7 @@
 }
 
 #[tokio::test]
-async fn what_only_a_leaving_runner_could_serve_is_refused_with_a_time_to_come_back() {
+async fn requests_that_only_a_leaving_runner_could_serve_are_refused_with_retry_after() {
     let leaving = ScriptedRunner::start(Vec::new()).await;
     let store = store(vec![runner(0, leaving.address)]);
     let daemon = daemon("d", &store, &Arc::default()).await;
@@ -91,26 +93,27 @@
 }
 
 #[tokio::test]
-async fn daemons_tell_each_other_that_a_runner_leaves() {
+async fn daemons_announce_leaving_runners_to_each_other() {
     let (leaving, other) = (
         ScriptedRunner::start(Vec::new()).await,
         ScriptedRunner::start(Vec::new()).await,
     );
     let store = store(vec![runner(0, leaving.address), runner(1, other.address)]);
     let control = Arc::default();
-    let told = daemon("a", &store, &control).await;
-    let untold = daemon("b", &store, &control).await;
+    let announcer = daemon("a", &store, &control).await;
+    let receiver = daemon("b", &store, &control).await;
     sleep(Duration::from_millis(1_200)).await;
     leaving.set_notice(LEAVES);
-    send_until_reached(&told, &leaving).await;
-    sleep(WORD).await;
+    send_until_reached(&announcer, &leaving).await;
+    sleep(PROPAGATION_TIME).await;
     for number in 0..10 {
-        assert_eq!(status(&untold, &format!("id-{number}"), MODEL).await, 200);
+        assert_eq!(status(&receiver, &format!("id-{number}"), MODEL).await, 200);
     }
     assert_eq!(leaving.received().len(), 1);
 }
 
-/// The coordinator must know it too: otherwise it takes the model for loaded, and no request is served.
+/// The coordinator must know it too: otherwise it considers the model loaded, and no request is
+/// served.
 #[tokio::test]
 async fn what_a_leaving_runner_holds_is_loaded_elsewhere() {
     let (leaving, other) = (
--- a/crates/ingress/tests/ingress/resting_runners.rs
+++ b/crates/ingress/tests/ingress/resting_runners.rs
@@ -1,8 +1,10 @@
-//! Runners that turn a request away and ask for rest.
+//! Runners that refuse a request and ask for rest.
 //!
-//! Seen: a runner had asked a daemon for 3 s of rest and got three requests from it in that time. They were turned away too, and
-//! each cost its service a repeat. The time that it named was read nowhere: a runner that was full came after others for 0.4 s
-//! only, and a request that had asked all runners asked them again after 80 and 320 ms. These tests failed on that code.
+//! Guards against requests to a runner that rests: a runner had asked a daemon for 3 s of rest and
+//! received three requests in that time. It refused them too, and each cost its service a retry.
+//! The requested time was not read: a saturated runner was only ranked after others for 0.4 s, and
+//! a request that had tried all runners tried them again after 80 and 320 ms. These tests failed on
+//! that code.
 
 use std::time::{Duration, Instant};
 
@@ -12,27 +14,27 @@
 use crate::runner::{Behaviour, ScriptedRunner};
 use crate::support::TestIngress;
 
-const ASKS_FOR_REST: &str = "x-rest: 2\r\n";
+const REST_HEADER: &str = "x-rest: 2\r\n";
 const REST: Duration = Duration::from_secs(2);
-/// Time after which a daemon's requests count.
+/// Time after the runner's first request from which requests count.
 const GRACE: Duration = Duration::from_millis(500);
-/// Requests that may reach the runner all the same.
+/// Requests that may reach the runner in spite of its rest.
 const ALLOWED: usize = 2;
 const PAUSE: Duration = Duration::from_millis(100);
 
-/// Runners that turn away all that they get.
-async fn resting() -> ScriptedRunner {
+/// A runner that refuses all requests and asks for rest.
+async fn resting_runner() -> ScriptedRunner {
     let runner = ScriptedRunner::start(vec![Behaviour::NotRun; 100]).await;
-    runner.set_notice(ASKS_FOR_REST);
+    runner.set_notice(REST_HEADER);
     runner
 }
 
-/// Sends a request each [`PAUSE`] for some time; returns their answers and how long each took.
-async fn press(ingress: &TestIngress, time: Duration) -> Vec<(u16, Duration)> {
+/// Sends a request each [`PAUSE`] for some time; returns the status and duration of each.
+async fn send_load(ingress: &TestIngress, time: Duration) -> Vec<(u16, Duration)> {
     let mut requests = JoinSet::new();
-    let begun = Instant::now();
+    let started = Instant::now();
     let mut number = 0;
-    while begun.elapsed() < time {
+    while started.elapsed() < time {
         let request = ingress.request("/safe/x", &format!("id-{number}"));
         requests.spawn(async move {
             let sent = Instant::now();
@@ -47,12 +49,12 @@
     requests.join_all().await
 }
 
-/// Requests that reached a runner in its rest, which began with the first of them.
-fn in_rest(runner: &ScriptedRunner) -> usize {
+/// Number of requests that reached a runner during its rest, which starts with the first request.
+fn received_during_rest(runner: &ScriptedRunner) -> usize {
     let received = runner.received();
-    let begun = received[0].at;
+    let started = received[0].at;
     let count = received.iter().filter(|it| {
-        let after = it.at - begun;
+        let after = it.at - started;
         after > GRACE && after < REST
     });
     count.count()
@@ -60,12 +62,12 @@
 
 #[tokio::test]
 async fn a_runner_that_asks_for_rest_is_left_alone() {
-    let runner = resting().await;
+    let runner = resting_runner().await;
     let ingress = TestIngress::start(&[&runner]).await;
-    let answers = press(&ingress, REST).await;
-    let count = in_rest(&runner);
-    assert!(count <= ALLOWED, "{count} requests in its rest");
-    // Nobody else could serve them, so they learn at once when to come back.
+    let answers = send_load(&ingress, REST).await;
+    let count = received_during_rest(&runner);
+    assert!(count <= ALLOWED, "{count} requests during its rest");
+    // No other runner can serve them, so they are refused immediately with `retry-after`.
     assert!(answers.iter().all(|(status, _)| *status == 503));
     let quick = answers
         .iter()
@@ -75,21 +77,24 @@
 
 #[tokio::test]
 async fn requests_go_to_runners_that_do_not_rest() {
-    let (runner, other) = (resting().await, ScriptedRunner::start(Vec::new()).await);
+    let (runner, other) = (
+        resting_runner().await,
+        ScriptedRunner::start(Vec::new()).await,
+    );
     let ingress = TestIngress::start(&[&runner, &other]).await;
-    let answers = press(&ingress, REST).await;
+    let answers = send_load(&ingress, REST).await;
     assert!(answers.iter().all(|(status, _)| *status == 200));
-    let count = in_rest(&runner);
-    assert!(count <= ALLOWED, "{count} requests in its rest");
+    let count = received_during_rest(&runner);
+    assert!(count <= ALLOWED, "{count} requests during its rest");
 }
 
 #[tokio::test]
 async fn a_runner_that_has_rested_gets_requests_again() {
     let runner = ScriptedRunner::start(vec![Behaviour::NotRun]).await;
-    runner.set_notice(ASKS_FOR_REST);
+    runner.set_notice(REST_HEADER);
     let ingress = TestIngress::start(&[&runner]).await;
-    let turned_away = ingress.request("/safe/x", "first").send().await.unwrap();
-    assert_eq!(turned_away.status(), 503);
+    let refused = ingress.request("/safe/x", "first").send().await.unwrap();
+    assert_eq!(refused.status(), 503);
     runner.set_notice("");
     sleep(REST).await;
     let served = ingress.request("/safe/x", "second").send().await.unwrap();
--- a/crates/ingress/tests/ingress/runner.rs
+++ b/crates/ingress/tests/ingress/runner.rs
@@ -1,4 +1,4 @@
-//! A runner that does what its script says, one behaviour a request.
+//! A scripted runner, with one behaviour per request.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -9,14 +9,14 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::sleep;
 
-/// What a runner does with one request.
+/// Behaviour of a runner for one request.
 #[derive(Clone, Debug)]
 pub enum Behaviour {
     /// Answers with a status and a body.
     Answer(u16, &'static str),
-    /// Answers another request.
+    /// Answers with the ID of another request.
     OtherId,
-    /// Says that it did not run the request.
+    /// Reports that it did not run the request.
     NotRun,
     /// Resets the connection without an answer.
     Reset,
@@ -24,27 +24,27 @@
     Hang,
     /// Sends events from the first to the last, and then ends the stream.
     Events(u32, u32),
-    /// The same, and then part of an event and a reset.
+    /// Sends events, then part of an event, and resets the connection.
     EventsThenReset(u32, u32),
-    /// The same after 1.3 s of silence.
+    /// Sends events after 1.3 s of silence.
     LateEvents(u32, u32),
-    /// One event every 100 ms, from the first to the last.
+    /// Sends one event every 100 ms, from the first to the last.
     SlowEvents(u32, u32),
-    /// Two events from the first, then 2.5 s of silence, and then the rest to the last.
+    /// Sends two events from the first, then, after 2.5 s of silence, the rest to the last.
     PausedEvents(u32, u32),
 }
 
-/// A request as the runner got it.
+/// A request as received by the runner.
 #[derive(Clone, Debug)]
 pub struct Received {
     pub head: String,
     pub body: Vec<u8>,
-    /// When its head had come.
+    /// When its head was complete.
     pub at: Instant,
 }
 
 impl Received {
-    /// The value of a header, if the request has it.
+    /// The value of a header, if present.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.head.lines().find_map(|line| {
             let (found, value) = line.split_once(':')?;
@@ -58,7 +58,7 @@
     script: VecDeque<Behaviour>,
     received: Vec<Received>,
     closed: u32,
-    /// Header lines of all its answers, each with its end.
+    /// Header lines added to all answers, each with its line end.
     notice: String,
 }
 
@@ -70,7 +70,7 @@
 }
 
 impl ScriptedRunner {
-    /// Starts a runner; once the script is over it answers 200 `done`.
+    /// Starts a runner; after the end of the script it answers 200 `done`.
     pub async fn start(script: Vec<Behaviour>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let runner = Self {
@@ -93,17 +93,17 @@
         runner
     }
 
-    /// The requests that it got.
+    /// The received requests.
     pub fn received(&self) -> Vec<Received> {
         self.state.lock().unwrap().received.clone()
     }
 
-    /// Sets header lines that all its answers have from now on, each with its end.
+    /// Sets header lines added to all answers from now on, each with its line end.
     pub fn set_notice(&self, lines: &str) {
         lines.clone_into(&mut self.state.lock().unwrap().notice);
     }
 
-    /// Connections that have ended.
+    /// Number of connections that have ended.
     pub fn closed(&self) -> u32 {
         self.state.lock().unwrap().closed
     }
@@ -118,7 +118,7 @@
                 let behaviour = next.unwrap_or(Behaviour::Answer(200, "done"));
                 (behaviour, state.notice.clone())
             };
-            // The lines stand right behind the identity, in whatever head has one.
+            // The lines follow the ID header, in whatever head has one.
             let id = format!("{id}\r\n{notice}").trim_end().to_owned();
             if !perform(&mut stream, &id, behaviour).await {
                 return;
@@ -165,7 +165,7 @@
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-/// Tells whether the connection goes on.
+/// Returns whether the connection stays open.
 async fn perform(stream: &mut TcpStream, id: &str, behaviour: Behaviour) -> bool {
     match behaviour {
         Behaviour::Answer(status, body) => answer(stream, id, status, "x-stamp: s\r\n", body).await,
@@ -218,9 +218,9 @@
     let _ = socket.set_linger(Some(Duration::ZERO));
 }
 
-async fn answer(stream: &mut TcpStream, id: &str, status: u16, more: &str, body: &str) -> bool {
+async fn answer(stream: &mut TcpStream, id: &str, status: u16, headers: &str, body: &str) -> bool {
     let text = format!(
-        "HTTP/1.1 {status} X\r\nx-id: {id}\r\n{more}content-length: {}\r\n\r\n{body}",
+        "HTTP/1.1 {status} X\r\nx-id: {id}\r\n{headers}content-length: {}\r\n\r\n{body}",
         body.len()
     );
     stream.write_all(text.as_bytes()).await.is_ok()
--- a/crates/ingress/tests/ingress/support.rs
+++ b/crates/ingress/tests/ingress/support.rs
@@ -399,7 +399,7 @@
         peer_listen: any,
         metrics_listen: None,
         strength: MachineStrength::default(),
-        news_bound: Duration::from_secs(2),
+        propagation_bound: Duration::from_secs(2),
         evacuation_bound: None,
         cold_runners: None,
         key_trust: KeyTrust::default(),
