--- a/crates/ingress/src/coordination/crashes.rs
+++ b/crates/ingress/src/coordination/crashes.rs
@@ -67,7 +67,8 @@
     /// Merges the quarantine entries of another daemon.
     pub(super) fn merge_quarantine(&mut self, announcement: &QuarantineNews) {
         let now = self.shared.now();
-        self.shared.take_quarantine(&announcement.entries, "daemon");
+        self.shared
+            .merge_quarantine(&announcement.entries, "daemon");
         let answer = self
             .quarantine
             .answer(&self.shared.tables().quarantine, announcement, now);
--- a/crates/ingress/src/coordination/follower.rs
+++ b/crates/ingress/src/coordination/follower.rs
@@ -11,7 +11,7 @@
 use flaxward_types::time::Timestamp;
 
 use crate::state::{Shared, Tables};
-use crate::watches::take_membership;
+use crate::watches::apply_membership;
 
 /// Time between two messages with the full usage.
 const USAGE_INTERVAL: Duration = Duration::from_secs(1);
@@ -269,14 +269,14 @@
         let lacks_runners = direction
             .membership
             .take()
-            .is_some_and(|update| !take_membership(shared, update, known));
+            .is_some_and(|update| !apply_membership(shared, update, known));
         if !leads {
             match direction.standby {
                 StandbyPlace::Unsaid => {}
                 StandbyPlace::None => shared.set_watch_role(WatchRole::Member),
                 StandbyPlace::Place(place) => shared.set_watch_role(WatchRole::Standby(place)),
             }
-            shared.hear_store(direction.address, &direction.store, earliest_arrival);
+            shared.record_store_report(direction.address, &direction.store, earliest_arrival);
         }
         if let Some(members) = direction.members {
             self.members = members;
@@ -310,7 +310,7 @@
             coordinator.holdings_version = coordinator.holdings_version.max(version);
         }
         drop(tables);
-        shared.tell_outlooks(direction.outlooks);
+        shared.apply_readiness_estimates(direction.outlooks);
         if has_new_holdings {
             shared.changed.notify_waiters();
         }
--- a/crates/ingress/src/coordination/mod.rs
+++ b/crates/ingress/src/coordination/mod.rs
@@ -32,11 +32,11 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep_until;
 
-use crate::counters::{NEWS_WITH_GAPS, PLAN_SECONDS, SUSPENSIONS};
+use crate::cold_periods::end_cold_periods;
+use crate::counters::{PLAN_SECONDS, SUSPENSIONS, UPDATES_WITH_GAPS};
 use crate::peer::{PeerSocket, UndecodableMessage};
-use crate::spells::end_spells;
 use crate::state::Shared;
-use crate::watches::{take_evacuations, take_membership};
+use crate::watches::{apply_evacuations, apply_membership};
 
 use calls::{Caller, Event, log_foreign_report, log_settled, operation_name};
 use configuration_exchange::ConfigurationExchange;
@@ -212,7 +212,7 @@
         }
         let hears_holder = self.lease.hears_holder(now);
         self.shared
-            .hears_coordinator
+            .has_coordinator
             .store(hears_holder, Ordering::Relaxed);
         self.announce_quarantine(now);
         let (call, change) = self.lease.poll(now);
@@ -228,7 +228,7 @@
         self.quotas.send_questions(&self.shared, &self.peers, now);
         self.send_notices(now);
         self.send_permit_questions(now);
-        end_spells(&self.shared);
+        end_cold_periods(&self.shared);
         self.announce_limits(now);
         if self.leader.as_ref().is_some_and(|it| now >= it.plan_due()) {
             self.plan();
@@ -444,7 +444,7 @@
                     self.lease.set_stands_by(stands_by);
                 }
                 let leads = self.leader.is_some();
-                take_evacuations(&self.shared, direction.evacuations.clone(), "coordinator");
+                apply_evacuations(&self.shared, direction.evacuations.clone(), "coordinator");
                 self.compare_quarantine(direction.address, direction.quarantine_digest);
                 self.quotas
                     .apply_announcement(&self.shared, &direction.quota);
@@ -503,17 +503,17 @@
             return;
         }
         if let Some(update) = announcement.membership
-            && !take_membership(&self.shared, update, announcement.state.membership_revision)
+            && !apply_membership(&self.shared, update, announcement.state.membership_revision)
         {
-            metrics::counter!(NEWS_WITH_GAPS.name).increment(1);
+            metrics::counter!(UPDATES_WITH_GAPS.name).increment(1);
         }
-        take_evacuations(&self.shared, announcement.evacuations, "standby");
+        apply_evacuations(&self.shared, announcement.evacuations, "standby");
         self.compare_quarantine(announcement.from, announcement.quarantine_digest);
         let version = announcement.state.configuration_version;
         self.configurations
             .record_announcement(&self.shared, announcement.from, version);
         self.shared
-            .hear_store(announcement.from, &announcement.state, earliest_arrival);
+            .record_store_report(announcement.from, &announcement.state, earliest_arrival);
     }
 
     /// Handles a message of a member, if this daemon coordinates.
@@ -537,7 +537,7 @@
                 self.note_store_answer(&answer);
                 if let LeaseAnswer::Found(lease) = &answer {
                     let quarantine = &lease.record.quarantine;
-                    self.shared.take_quarantine(quarantine, "lease");
+                    self.shared.merge_quarantine(quarantine, "lease");
                 }
                 if let Some(change) = self.lease.handle_answer(answer, now) {
                     self.lease_changed(&change);
@@ -582,10 +582,10 @@
     fn note_store_answer(&mut self, answer: &LeaseAnswer) {
         let fails = *answer == LeaseAnswer::Unknown;
         if !fails {
-            self.shared.note_store_seen();
+            self.shared.record_store_answer();
         }
         if let Some(revision) = answer.revision() {
-            self.shared.note_store_era(revision);
+            self.shared.record_store_era(revision);
         }
         if self.is_store_failing && !fails {
             self.shared.restart_watches();
--- a/crates/ingress/src/coordination/standby.rs
+++ b/crates/ingress/src/coordination/standby.rs
@@ -39,9 +39,9 @@
 impl StandbyAnnouncer {
     /// The announcements that are due.
     pub fn due(&mut self, shared: &Shared, own: SocketAddr, now: Timestamp) -> Vec<StoreNews> {
-        let observation = *shared.store_word.borrow();
+        let observation = *shared.store_report.borrow();
         let is_standby = matches!(observation.role, WatchRole::Standby(_));
-        if !is_standby || observation.stands_until(now).is_some() || shared.is_stopping() {
+        if !is_standby || observation.valid_until(now).is_some() || shared.is_stopping() {
             self.period = None;
             return Vec::new();
         }
--- a/crates/ingress/src/decisions.rs
+++ b/crates/ingress/src/decisions.rs
@@ -9,7 +9,7 @@
 use flaxward_settings::logs::state_change;
 use flaxward_types::time::Timestamp;
 
-use crate::counters::LINES_LEFT_OUT;
+use crate::counters::LOG_LINES_DROPPED;
 
 /// Maximum number of lines per second.
 const MAX_LINES_PER_SECOND: u32 = 200;
@@ -31,7 +31,7 @@
     /// Writes a line, or drops it if the limit for this second is reached.
     pub(crate) fn write(&self, now: Timestamp, event: &str, fields: &[(&str, &dyn Display)]) {
         let Some(dropped) = self.admit(now) else {
-            metrics::counter!(LINES_LEFT_OUT.name).increment(1);
+            metrics::counter!(LOG_LINES_DROPPED.name).increment(1);
             return;
         };
         if dropped > 0 {
--- a/crates/ingress/src/dispatch.rs
+++ b/crates/ingress/src/dispatch.rs
@@ -19,7 +19,7 @@
 use tokio::time::{Instant, sleep};
 
 use crate::counters::{ATTEMPTS_FAILED, HEAD_SECONDS, SERVED};
-use crate::crashes::{note_break, until_quarantined};
+use crate::crashes::{check_for_crash, wait_until_quarantined};
 use crate::exchange::{
     ClientRequest, Continuation, Exchange, FailedAttempt, exchange, remove_hop_by_hop_headers,
 };
@@ -28,7 +28,7 @@
 use crate::relay::{self, StreamRelay};
 use crate::responses::{self, ResponseBody};
 use crate::state::Shared;
-use crate::waiting::{wait_for_room, wait_for_unit};
+use crate::waiting::{wait_for_capacity, wait_for_unit};
 
 /// Maximum size of a response that is buffered completely before it is forwarded.
 const MAX_BUFFERED_BYTES: usize = 4 * 1024 * 1024;
@@ -105,7 +105,7 @@
         guard: Box<dyn Send>,
     ) -> Result<Response<ResponseBody>, Refused> {
         self.guard = Some(guard);
-        if self.shared.quarantined_for(&self.request).is_none() {
+        if self.shared.quarantine_remaining(&self.request).is_none() {
             self.count_request();
         }
         let ending = self.shared.ending.clone();
@@ -129,7 +129,7 @@
             if self.request.time_left() < MIN_TIME_LEFT {
                 return self.give_up("the deadline has passed");
             }
-            if let Some(remaining) = self.shared.quarantined_for(&self.request) {
+            if let Some(remaining) = self.shared.quarantine_remaining(&self.request) {
                 return self.quarantined(remaining);
             }
             let runner = match self.choose() {
@@ -165,7 +165,7 @@
                 }
             };
             let is_retry = self.attempts.sent > 0;
-            if is_retry && !self.shared.try_repeat(&self.service) {
+            if is_retry && !self.shared.try_retry(&self.service) {
                 return self.give_up("the retry budget is spent");
             }
             self.is_attempting = true;
@@ -181,7 +181,7 @@
                 Err(failed) => self.record_failed_attempt(&runner, failed, sent_at.elapsed()),
             }
             if self.last_failure == Some(Failure::Broken) {
-                note_break(&self.shared, &self.request, &runner).await;
+                check_for_crash(&self.shared, &self.request, &runner).await;
             }
             let max_attempts = self.route.max_attempts;
             if !self.attempts.may_retry(self.route.kind, max_attempts) {
@@ -225,7 +225,7 @@
         tokio::select! {
             result = waiting => result,
             // The caller checks the quarantine next.
-            () = until_quarantined(&self.shared, &self.request) => Ok(()),
+            () = wait_until_quarantined(&self.shared, &self.request) => Ok(()),
         }
     }
 
@@ -252,7 +252,7 @@
     }
 
     async fn wait_for_room(&mut self, until: Timestamp) -> Result<(), Refusal> {
-        let waiting = wait_for_room(
+        let waiting = wait_for_capacity(
             &self.shared,
             &self.request,
             &self.route,
@@ -262,7 +262,7 @@
         tokio::select! {
             result = waiting => result,
             // The caller checks the quarantine next.
-            () = until_quarantined(&self.shared, &self.request) => Ok(()),
+            () = wait_until_quarantined(&self.shared, &self.request) => Ok(()),
         }
     }
 
@@ -426,7 +426,7 @@
         if let Some(connection) = connection {
             self.shared.pool.put(connection);
         }
-        self.shared.note_completed(&self.request);
+        self.shared.record_completed(&self.request);
         *response.body_mut() = responses::full_body(bytes);
         let failed = response.status().is_server_error();
         if failed && self.may_replace_failure() {
--- a/crates/ingress/src/handler.rs
+++ b/crates/ingress/src/handler.rs
@@ -114,7 +114,7 @@
         return Err(refuse_early(ResultCode::UnknownPath, &id, &reason));
     };
     let tenant = access::tenant(shared, &configuration, &route, &id, request.headers())?;
-    let bound_by = access::bound_by(shared, &configuration, request.headers());
+    let bound_by = access::restricting_tenant(shared, &configuration, request.headers());
     let homes = homes(&route, bound_by.as_deref());
     if homes.is_empty() {
         return Err(no_common_home(&id, &route, bound_by.as_deref()));
--- a/crates/ingress/src/relay.rs
+++ b/crates/ingress/src/relay.rs
@@ -18,7 +18,7 @@
 use tokio::time::{Instant, timeout, timeout_at};
 
 use crate::counters::{STREAMS_BROKEN, STREAMS_LATE, STREAMS_RESUMED};
-use crate::crashes::note_break;
+use crate::crashes::check_for_crash;
 use crate::exchange::{ClientRequest, Continuation, Exchange, FailedAttempt, exchange};
 use crate::permits::{Admission, admit_until};
 use crate::responses::ResponseBody;
@@ -195,7 +195,7 @@
     }
 
     fn is_quarantined(&self) -> bool {
-        self.shared.quarantined_for(&self.request).is_some()
+        self.shared.quarantine_remaining(&self.request).is_some()
     }
 
     fn may_resume(&self) -> bool {
@@ -243,7 +243,7 @@
         }
         if let Some(exchange) = self.exchange.take() {
             self.log_gap(&exchange.runner.id);
-            self.shared.note_completed(&self.request);
+            self.shared.record_completed(&self.request);
             self.shared
                 .observe(&exchange.runner.id, Observation::Success);
             if let Some(connection) = exchange.connection {
@@ -275,7 +275,7 @@
         }
         self.attempts.record_failure(failure);
         if is_crash_suspect && let Some(exchange) = &current {
-            note_break(&self.shared, &self.request, &exchange.runner).await;
+            check_for_crash(&self.shared, &self.request, &exchange.runner).await;
         }
         drop(current);
         self.fail_over().await
@@ -295,7 +295,7 @@
             if self.is_quarantined() {
                 return Err(self.abort(RelayError::Broken, "the request is quarantined"));
             }
-            if !self.shared.try_repeat(&self.service) {
+            if !self.shared.try_retry(&self.service) {
                 return Err(self.abort(RelayError::Broken, "the retry budget is spent"));
             }
             if self.try_continue().await? {
@@ -313,7 +313,7 @@
             self.resume_waiting(stalled);
             return Ok(());
         };
-        if self.is_quarantined() || !self.shared.try_repeat(&self.service) {
+        if self.is_quarantined() || !self.shared.try_retry(&self.service) {
             self.resume_waiting(stalled);
             return Ok(());
         }
