--- a/crates/flaxward/tests/regions.rs
+++ b/crates/flaxward/tests/regions.rs
@@ -111,7 +111,7 @@
     let service = ServiceSpec {
         name: SERVICE.to_owned(),
         models: MODELS.map(str::to_owned).to_vec(),
-        models_held: 2,
+        model_capacity: 2,
         load_time: LOAD_TIME,
         cold: None,
     };
--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -4,8 +4,8 @@
 use std::time::{Duration, Instant};
 
 use crate::setup::{MODELS, PLAIN_TIMEOUT, STREAM_TIMEOUT};
-use flaxward_platform_stand_in::caller::{answers, request_headers};
-use flaxward_platform_stand_in::{WorkKind, events_of};
+use flaxward_platform_stand_in::caller::{is_response_to, request_headers};
+use flaxward_platform_stand_in::{WorkKind, event_count};
 use reqwest::{Client, Response, StatusCode};
 
 /// Host of all routes.
@@ -132,7 +132,7 @@
 }
 
 async fn whole(ask: &Ask, response: Response) -> Ending {
-    if !answers(response.headers(), &ask.request) {
+    if !is_response_to(response.headers(), &ask.request) {
         return Ending::Wrong("the answer of another request".to_owned());
     }
     let Ok(body) = response.text().await else {
@@ -152,6 +152,6 @@
 
 /// The whole stream of a request.
 fn stream_text(request: &str) -> String {
-    let events = (1..=events_of(request)).map(|id| format!("id: {id}\ndata: {request}\n\n"));
+    let events = (1..=event_count(request)).map(|id| format!("id: {id}\ndata: {request}\n\n"));
     events.collect()
 }
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -173,7 +173,7 @@
         FaultKind::PauseDaemon => pause_daemon(fleet, daemon, some_time(random)).await,
         FaultKind::CutFromStore => cut_from_store(fleet, daemon, random).await,
         FaultKind::StoreOut => store_out(fleet, random).await,
-        FaultKind::ForgetHistory => fleet.store.forget_history(),
+        FaultKind::ForgetHistory => fleet.store.compact_history(),
         FaultKind::CutRunner => cut_runner(fleet, random).await,
         FaultKind::CrashRunner => crash_runner(fleet, random).await,
         FaultKind::DrainRunner => drain_runner(fleet, random).await,
@@ -379,7 +379,7 @@
         while place.runner.running() > 0 {
             sleep(Duration::from_millis(50)).await;
         }
-        place.runner.end();
+        place.runner.kill();
     }
 }
 
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -192,7 +192,7 @@
         let held = if has_engine { MODELS_HELD } else { 0 };
         let runner = RunnerStandIn::start(&id, SLOTS, &models, held, LOAD_TIME).await?;
         if is_cold {
-            runner.turn_cold(cold_bound(), COLD_AFTER_START);
+            runner.start_cold_period(cold_bound(), COLD_AFTER_START);
         }
         let proxy = Proxy::start(runner.address()).await?;
         let state = RunnerState {
@@ -236,7 +236,7 @@
         let Some(held) = held else { return Ok(()) };
         let runner = RunnerStandIn::start(id, SLOTS, &[], held, LOAD_TIME).await?;
         if self.has_cold {
-            runner.turn_cold(cold_bound(), COLD_AFTER_START);
+            runner.start_cold_period(cold_bound(), COLD_AFTER_START);
         }
         let runner = Arc::new(runner);
         for place in locked(&self.places).iter_mut() {
@@ -270,7 +270,7 @@
     pub fn end_runner(&self, id: &str) {
         for place in locked(&self.places).iter() {
             if place.runner.id() == id {
-                place.runner.end();
+                place.runner.kill();
             }
         }
     }
@@ -279,7 +279,7 @@
     pub fn say(&self, id: &str, notice: Notice, duration: Option<Duration>) {
         for place in locked(&self.places).iter() {
             if place.runner.id() == id {
-                place.runner.say(notice, duration);
+                place.runner.set_notice(notice, duration);
             }
         }
     }
@@ -288,7 +288,7 @@
     pub fn turn_cold(&self, id: &str, duration: Duration) {
         for place in locked(&self.places).iter() {
             if place.runner.id() == id {
-                place.runner.turn_cold(cold_bound(), duration);
+                place.runner.start_cold_period(cold_bound(), duration);
             }
         }
         self.renew_entry(id);
@@ -385,7 +385,7 @@
                 let down = Duration::from_millis(random.random_range(500..3_000));
                 let ongoing = self.disturbances.begin(Target::Runner);
                 place.proxy.close().await;
-                place.runner.end();
+                place.runner.kill();
                 let fleet = self.clone();
                 restarts.spawn(async move {
                     sleep(down).await;
--- a/crates/soak/src/notice_checks.rs
+++ b/crates/soak/src/notice_checks.rs
@@ -49,7 +49,7 @@
                 Some(Came {
                     at: arrival.at,
                     daemon: *daemons.get(&arrival.request)?,
-                    said: arrival.said,
+                    said: arrival.notice,
                 })
             })
             .collect();
@@ -127,7 +127,7 @@
             is_told && !is_excused(fleet, it.daemon, first, it.at)
         };
         let requests = came.iter().filter(counts).map(|it| it.at);
-        let mut counted: Vec<Instant> = requests.chain(runner.calls()).collect();
+        let mut counted: Vec<Instant> = requests.chain(runner.control_calls()).collect();
         let is_bound = |at: &Instant| *at >= first + RATE_GRACE && *at <= last;
         counted.retain(|at| is_bound(at) && !was_held_up(fleet, runner, *at));
         counted.sort_unstable();
--- a/crates/soak/src/runner_faults.rs
+++ b/crates/soak/src/runner_faults.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use flaxward_platform_stand_in::{
-    ColdBound, FOREIGN_ENTRY_KINDS, Notice, RunnerStandIn, foreign_entries,
+    ColdLimit, FOREIGN_ENTRY_KINDS, Notice, RunnerStandIn, foreign_entries,
 };
 use rand::{Rng, RngExt};
 use rand_chacha::ChaCha8Rng;
@@ -32,7 +32,7 @@
 const LAPSE: Duration = Duration::from_millis(1_500);
 
 /// What a cold runner may get.
-pub fn cold_bound() -> ColdBound {
+pub fn cold_bound() -> ColdLimit {
     let borne = (f64::from(COLD_PER_SECOND) * COLD_FACTOR).floor();
     #[expect(
         clippy::cast_possible_truncation,
@@ -40,9 +40,9 @@
         reason = "a few"
     )]
     let borne = borne as usize;
-    ColdBound {
+    ColdLimit {
         per_second: COLD_PER_SECOND,
-        most_in_a_second: borne + COLD_SLACK,
+        max_in_window: borne + COLD_SLACK,
     }
 }
 
--- a/crates/soak/src/setup.rs
+++ b/crates/soak/src/setup.rs
@@ -87,14 +87,14 @@
     let engine = ServiceSpec {
         name: ENGINE_SERVICE.to_owned(),
         models: MODELS.map(str::to_owned).to_vec(),
-        models_held: u32::try_from(MODELS_HELD).unwrap_or(u32::MAX),
+        model_capacity: u32::try_from(MODELS_HELD).unwrap_or(u32::MAX),
         load_time: LOAD_TIME,
         cold,
     };
     let plain = ServiceSpec {
         name: PLAIN_SERVICE.to_owned(),
         models: Vec::new(),
-        models_held: 0,
+        model_capacity: 0,
         load_time: Duration::ZERO,
         cold,
     };
--- a/crates/soak/src/store_checks.rs
+++ b/crates/soak/src/store_checks.rs
@@ -41,7 +41,7 @@
         Condition::Unconditional => "none".to_owned(),
     };
     let made = change
-        .made
+        .new_revision
         .map_or("refused".to_owned(), |it| it.to_string());
     let (at_ms, era, spec) = (at_ms.as_millis(), change.era, &change.spec);
     let fields = ["holder", "incarnation", "term", "renewals", "released"];
