--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,9 +1,9 @@
-//! The clock that drives the decisions of a daemon.
+//! Monotonic clock for the decisions of a daemon. It includes the time that the machine spends suspended.
 //!
-//! It counts the time that the machine spends suspended. The steady clock of the standard library and the timers of the
-//! runtime do not: a daemon that goes by them believes after its suspension, for as long as that lasted, that it holds a
-//! lease which others have taken over, or that its configuration was confirmed a moment ago. So whatever acts on a timer
-//! asks this clock again. The time of day decides nothing.
+//! `std::time::Instant` and the timers of tokio exclude suspension. A daemon that relied on them would, after a resume
+//! and for as long as the suspension lasted, still consider itself the holder of a lease that another daemon has taken
+//! over, or treat an outdated configuration as recently confirmed. Code that runs on a timer must therefore check this
+//! clock again when the timer fires. No decision depends on the wall clock.
 
 #![warn(clippy::pedantic)]
 #![allow(clippy::must_use_candidate)]
@@ -15,64 +15,64 @@
 use flaxward_types::Timestamp;
 use nix::time::{ClockId, clock_gettime};
 
-/// The clock of the system that also runs while the machine is suspended.
+/// System clock that keeps running while the machine is suspended.
 #[cfg(any(target_os = "linux", target_os = "android"))]
 const SYSTEM_CLOCK: ClockId = ClockId::CLOCK_BOOTTIME;
-/// Other systems have no such clock under this interface; on some of them the steady clock counts suspension.
+/// Other systems have no `CLOCK_BOOTTIME`; on some of them the monotonic clock includes suspension.
 #[cfg(not(any(target_os = "linux", target_os = "android")))]
 const SYSTEM_CLOCK: ClockId = ClockId::CLOCK_MONOTONIC;
 
-/// Tells how much time has passed since a fixed moment.
+/// Source of monotonic time.
 pub trait TimeSource: Debug + Send + Sync {
-    /// The time since that moment; it never falls.
+    /// Time since a fixed origin; never decreases.
     fn elapsed(&self) -> Duration;
 }
 
-/// The time of the system, suspension included.
+/// Monotonic time of the system, suspension included where the system supports it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SystemTime;
 
 impl TimeSource for SystemTime {
     /// # Panics
-    /// Never: the system has had the clock since long before the oldest one that the daemon runs on.
+    /// Never: every supported system version provides this clock.
     fn elapsed(&self) -> Duration {
-        let time = clock_gettime(SYSTEM_CLOCK).expect("the system has the clock");
+        let time = clock_gettime(SYSTEM_CLOCK).expect("the system clock is available");
         Duration::from(time)
     }
 }
 
-/// The clock of one daemon. Its timestamps begin with it.
+/// Clock of one daemon. Its timestamps count from its creation.
 #[derive(Clone, Debug)]
 pub struct Clock {
     source: Arc<dyn TimeSource>,
     origin: Duration,
-    begun: Instant,
+    started_at: Instant,
 }
 
 impl Clock {
-    /// A clock that starts now and goes by a source.
+    /// Creates a clock that reads `source` and starts at zero.
     pub fn start(source: Arc<dyn TimeSource>) -> Self {
         Self {
             origin: source.elapsed(),
             source,
-            begun: Instant::now(),
+            started_at: Instant::now(),
         }
     }
 
-    /// Now.
+    /// Current timestamp.
     pub fn now(&self) -> Timestamp {
         Timestamp::ZERO + self.elapsed()
     }
 
-    /// The instant of a timestamp, for timers; now if it lies in the past. A timer that is set with it fires late by the
-    /// time that the machine is suspended meanwhile.
+    /// Converts a timestamp to an instant for timers; the current instant if the timestamp has passed. If the machine is
+    /// suspended before the timer fires, it fires late by the duration of the suspension.
     pub fn instant(&self, timestamp: Timestamp) -> tokio::time::Instant {
         tokio::time::Instant::now() + timestamp.since(self.now())
     }
 
-    /// Time that the machine has been suspended since the clock started.
+    /// Total time the machine has been suspended since the clock was created.
     pub fn suspended(&self) -> Duration {
-        self.elapsed().saturating_sub(self.begun.elapsed())
+        self.elapsed().saturating_sub(self.started_at.elapsed())
     }
 
     fn elapsed(&self) -> Duration {
--- a/crates/clock/tests/clock.rs
+++ b/crates/clock/tests/clock.rs
@@ -1,4 +1,4 @@
-//! What the clock says when the machine was suspended.
+//! Timestamps and timers of the clock across a suspension of the machine.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -7,19 +7,19 @@
 use flaxward_clock::{Clock, SystemTime, TimeSource};
 use flaxward_types::Timestamp;
 
-/// The time of the system with a suspension that never was.
+/// System time plus a simulated suspension, in seconds.
 #[derive(Debug, Default)]
-struct Leaping(AtomicU64);
+struct SuspendableTime(AtomicU64);
 
-impl TimeSource for Leaping {
+impl TimeSource for SuspendableTime {
     fn elapsed(&self) -> Duration {
         SystemTime.elapsed() + Duration::from_secs(self.0.load(Ordering::Relaxed))
     }
 }
 
 #[test]
-fn a_suspension_counts() {
-    let source = Arc::new(Leaping::default());
+fn timestamps_include_suspension() {
+    let source = Arc::new(SuspendableTime::default());
     let clock = Clock::start(source.clone());
     assert!(clock.suspended() < Duration::from_millis(100));
     let before = clock.now();
@@ -29,14 +29,14 @@
 }
 
 #[tokio::test]
-async fn timers_are_set_for_what_is_left() {
-    let source = Arc::new(Leaping::default());
+async fn timer_instants_account_for_suspension() {
+    let source = Arc::new(SuspendableTime::default());
     let clock = Clock::start(source.clone());
-    let due = Timestamp::ZERO + Duration::from_secs(40);
+    let deadline = Timestamp::ZERO + Duration::from_secs(40);
     source.0.store(30, Ordering::Relaxed);
-    let left = clock.instant(due) - tokio::time::Instant::now();
-    assert!(left <= Duration::from_secs(10), "{left:?}");
-    assert!(left > Duration::from_secs(9), "{left:?}");
+    let remaining = clock.instant(deadline) - tokio::time::Instant::now();
+    assert!(remaining <= Duration::from_secs(10), "{remaining:?}");
+    assert!(remaining > Duration::from_secs(9), "{remaining:?}");
     source.0.store(50, Ordering::Relaxed);
-    assert!(clock.instant(due) <= tokio::time::Instant::now());
+    assert!(clock.instant(deadline) <= tokio::time::Instant::now());
 }
--- a/crates/control/src/node/mod.rs
+++ b/crates/control/src/node/mod.rs
@@ -14,7 +14,7 @@
 use flaxward_types::engine::{LoadReport, Machine};
 use flaxward_types::routing::Demand;
 use flaxward_types::{DaemonName, RunnerName, Term, Timestamp, ZoneName};
-use flaxward_wire::{InventoryNews, MemberState, MemberUpdate, Message, Peer, RunnerReport};
+use flaxward_wire::{InventoryUpdate, MemberState, MemberUpdate, Message, Peer, RunnerReport};
 
 use crate::configuration::Configuration;
 use crate::coordinator::{Coordinator, CoordinatorAction, CoordinatorEvent};
@@ -332,11 +332,11 @@
                 None => self.step_coordinator(CoordinatorEvent::RunnerUnanswered(runner.clone())),
             }
             match inventory {
-                InventoryNews::Unread => {}
-                InventoryNews::Same(version) => {
+                InventoryUpdate::Unread => {}
+                InventoryUpdate::Same(version) => {
                     self.step_coordinator(CoordinatorEvent::InventoryUnchanged(runner, version));
                 }
-                InventoryNews::Changed(inventory) => {
+                InventoryUpdate::Changed(inventory) => {
                     let inventory = Ok(inventory);
                     self.step_coordinator(CoordinatorEvent::InventoryRead { runner, inventory });
                 }
--- a/crates/control/src/observation.rs
+++ b/crates/control/src/observation.rs
@@ -10,7 +10,7 @@
 
 use flaxward_types::engine::{Inventory, LoadReport, Machine};
 use flaxward_types::{RunnerName, Timestamp};
-use flaxward_wire::{InventoryNews, RunnerReport};
+use flaxward_wire::{InventoryUpdate, RunnerReport};
 
 /// Time between two reads of a runner's load. The load report says whether the engine is leaving;
 /// including the time that a mark takes to reach every gateway, no new work may reach a leaving
@@ -119,7 +119,7 @@
         let observed = self.runners.get_mut(&read.machine.name)?;
         let is_changed = observed.load_changed(reading.load.as_ref());
         let inventory = observed.inventory_update(reading.inventory);
-        if !is_changed && inventory == InventoryNews::Unread {
+        if !is_changed && inventory == InventoryUpdate::Unread {
             return None;
         }
         observed.load.clone_from(&reading.load);
@@ -157,14 +157,14 @@
         }
     }
 
-    fn inventory_update(&mut self, inventory: Option<Inventory>) -> InventoryNews {
+    fn inventory_update(&mut self, inventory: Option<Inventory>) -> InventoryUpdate {
         let Some(inventory) = inventory else {
-            return InventoryNews::Unread;
+            return InventoryUpdate::Unread;
         };
         if self.inventory.as_ref() == Some(&inventory) {
-            return InventoryNews::Same(inventory.version());
+            return InventoryUpdate::Same(inventory.version());
         }
         self.inventory = Some(inventory.clone());
-        InventoryNews::Changed(inventory)
+        InventoryUpdate::Changed(inventory)
     }
 }
--- a/crates/control/tests/node.rs
+++ b/crates/control/tests/node.rs
@@ -14,7 +14,7 @@
     ConfigurationItem, DaemonName, ItemKey, Revision, RunnerName, Timestamp, ZoneName,
 };
 use flaxward_wire::{
-    ConfigurationSnapshot, Envelope, InventoryNews, MemberState, MemberUpdate, Message, Peer,
+    ConfigurationSnapshot, Envelope, InventoryUpdate, MemberState, MemberUpdate, Message, Peer,
     RunnerReport,
 };
 
@@ -176,7 +176,7 @@
     NodeEvent::Observed(vec![RunnerReport {
         runner: RunnerName::literal("zone-a-engine-1"),
         load: Some(load),
-        inventory: InventoryNews::Unread,
+        inventory: InventoryUpdate::Unread,
     }])
 }
 
--- a/crates/control/tests/observation.rs
+++ b/crates/control/tests/observation.rs
@@ -5,7 +5,7 @@
 use flaxward_control::observation::{Observer, Read, Reading};
 use flaxward_types::engine::{Inventory, LoadReport, Machine, MachineRole};
 use flaxward_types::{BootId, RunnerName, Term, Timestamp, ZoneName};
-use flaxward_wire::{InventoryNews, RunnerReport};
+use flaxward_wire::{InventoryUpdate, RunnerReport};
 
 const INVENTORY_INTERVAL: Duration = Duration::from_secs(15);
 
@@ -87,13 +87,13 @@
     let mut harness = Harness::new();
     let first = harness.run(Duration::from_secs(15), Some(10), 1);
     assert_eq!(first.len(), 1);
-    assert_eq!(first[0].inventory, InventoryNews::Changed(inventory(1)));
+    assert_eq!(first[0].inventory, InventoryUpdate::Changed(inventory(1)));
     let loads = (1..8).map(|number| (number * 2_000, false));
     let reads: Vec<(u64, bool)> = [(0, true)].into_iter().chain(loads).collect();
     assert_eq!(harness.reads, reads);
     let later = harness.run(Duration::from_secs(15), Some(24), 1);
-    let same = InventoryNews::Same(inventory(1).version());
-    let reported: Vec<&InventoryNews> = later.iter().map(|report| &report.inventory).collect();
+    let same = InventoryUpdate::Same(inventory(1).version());
+    let reported: Vec<&InventoryUpdate> = later.iter().map(|report| &report.inventory).collect();
     assert_eq!(reported, [&same]);
 }
 
@@ -128,7 +128,7 @@
     assert_eq!(silent.len(), 2);
     assert!(silent.iter().all(|report| report.load.is_none()));
     let back = harness.run(Duration::from_secs(2), Some(10), 1);
-    assert_eq!(back[0].inventory, InventoryNews::Changed(inventory(1)));
+    assert_eq!(back[0].inventory, InventoryUpdate::Changed(inventory(1)));
 }
 
 #[test]
@@ -137,5 +137,5 @@
     harness.run(Duration::from_secs(1), Some(10), 1);
     harness.observer.set_runners(vec![machine("runner-1", "b")]);
     let reports = harness.run(Duration::from_millis(500), Some(10), 1);
-    assert_eq!(reports[0].inventory, InventoryNews::Changed(inventory(1)));
+    assert_eq!(reports[0].inventory, InventoryUpdate::Changed(inventory(1)));
 }
--- a/crates/peers/src/counters.rs
+++ b/crates/peers/src/counters.rs
@@ -1,9 +1,9 @@
-//! Names of the counters, and what they count.
+//! Counters of the peer transport.
 
 use flaxward_types::Metric;
 use metrics::counter;
 
-/// Metrics of this crate.
+/// All metrics of this crate.
 pub const METRICS: [Metric; 9] = [
     DATAGRAMS_SENT,
     DATAGRAM_BYTES_SENT,
@@ -24,7 +24,7 @@
     "flaxward_peer_datagram_bytes_sent_total",
     "Bytes of datagrams sent, without IP and UDP headers.",
 );
-/// Datagrams received, whatever became of them.
+/// Datagrams received, including those dropped later.
 pub const DATAGRAMS_RECEIVED: Metric = Metric::counter(
     "flaxward_peer_datagrams_received_total",
     "Datagrams received, whatever became of them.",
@@ -34,25 +34,25 @@
     "flaxward_peer_datagram_bytes_received_total",
     "Bytes of datagrams received, without IP and UDP headers.",
 );
-/// Messages sent by TCP.
+/// Messages sent over TCP.
 pub const STREAMS_SENT: Metric =
     Metric::counter("flaxward_peer_streams_sent_total", "Messages sent by TCP.");
-/// Bytes of messages sent by TCP.
+/// Bytes of messages sent over TCP.
 pub const STREAM_BYTES_SENT: Metric = Metric::counter(
     "flaxward_peer_stream_bytes_sent_total",
     "Bytes of messages sent by TCP.",
 );
-/// Messages received by TCP, whatever became of them.
+/// Messages received over TCP, including those dropped later.
 pub const STREAMS_RECEIVED: Metric = Metric::counter(
     "flaxward_peer_streams_received_total",
     "Messages received by TCP, whatever became of them.",
 );
-/// Bytes of messages received by TCP.
+/// Bytes of messages received over TCP.
 pub const STREAM_BYTES_RECEIVED: Metric = Metric::counter(
     "flaxward_peer_stream_bytes_received_total",
     "Bytes of messages received by TCP.",
 );
-/// Messages that were not sent or not taken in, by label `reason`.
+/// Messages that were not sent or not accepted, by label `reason`.
 pub const DROPPED: Metric = Metric::counter(
     "flaxward_peer_dropped_total",
     "Messages that were not sent or not taken in, by label `reason`.",
@@ -61,22 +61,22 @@
 /// Why a message was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DropReason {
-    /// It does not decode, or has another wire version.
+    /// Malformed, or of an unsupported wire version.
     Undecodable,
-    /// It is longer than allowed.
+    /// Longer than the limit.
     TooLong,
-    /// It did not come, or could not be sent, in time.
+    /// Not received or not sent within the time limit.
     TooSlow,
-    /// Too many are in progress.
+    /// Too many transfers in progress.
     TooMany,
-    /// The system refused to send or to receive.
+    /// Send or receive error of the operating system.
     SystemError,
-    /// The daemon does not take in messages as fast as they come.
+    /// The daemon does not process messages as fast as they arrive.
     QueueFull,
 }
 
 impl DropReason {
-    /// The value of the label.
+    /// Value of the label `reason`.
     pub fn label(self) -> &'static str {
         match self {
             Self::Undecodable => "undecodable",
@@ -90,12 +90,12 @@
 }
 
 /// Counts a dropped message.
-pub(crate) fn dropped(reason: DropReason) {
+pub(crate) fn count_dropped(reason: DropReason) {
     counter!(DROPPED.name, "reason" => reason.label()).increment(1);
 }
 
-/// Counts one message and its bytes.
-pub(crate) fn passed(messages: Metric, bytes: Metric, length: usize) {
+/// Counts one transferred message and its bytes.
+pub(crate) fn count_message(messages: Metric, bytes: Metric, length: usize) {
     counter!(messages.name).increment(1);
     counter!(bytes.name).increment(length as u64);
 }
--- a/crates/peers/src/datagrams.rs
+++ b/crates/peers/src/datagrams.rs
@@ -1,4 +1,4 @@
-//! Short messages by UDP.
+//! Transport of short messages over UDP.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,50 +10,50 @@
 use crate::Incoming;
 use crate::counters::{
     DATAGRAM_BYTES_RECEIVED, DATAGRAM_BYTES_SENT, DATAGRAMS_RECEIVED, DATAGRAMS_SENT, DropReason,
-    dropped, passed,
+    count_dropped, count_message,
 };
 
-/// Pause after an error of the socket, so that a lasting one does not take a whole core.
+/// Pause after a socket error, so that a persistent error does not occupy a whole core.
 const ERROR_PAUSE: Duration = Duration::from_millis(10);
 
-/// Sends a datagram now or never. The socket does not block; it is not tokio's own, which would
-/// refuse to send until the runtime has once seen it ready.
+/// Sends a datagram immediately or drops it. Uses a non-blocking std socket because a tokio socket
+/// refuses to send until the runtime has seen it ready once.
 pub(crate) fn send(socket: &std::net::UdpSocket, to: SocketAddr, bytes: &[u8]) {
     match socket.send_to(bytes, to) {
-        Ok(_) => passed(DATAGRAMS_SENT, DATAGRAM_BYTES_SENT, bytes.len()),
-        Err(_) => dropped(DropReason::SystemError),
+        Ok(_) => count_message(DATAGRAMS_SENT, DATAGRAM_BYTES_SENT, bytes.len()),
+        Err(_) => count_dropped(DropReason::SystemError),
     }
 }
 
-/// Receives datagrams until the receiver of the queue is gone.
+/// Receives datagrams until the receiver of the queue is dropped.
 pub(crate) async fn receive(socket: UdpSocket, queue: mpsc::Sender<Incoming>) {
-    // One byte more than allowed shows that a datagram is too long.
+    // The extra byte makes datagrams over the limit detectable.
     let mut buffer = [0_u8; MAX_DATAGRAM_BYTES + 1];
     while !queue.is_closed() {
         let Ok((length, from)) = socket.recv_from(&mut buffer).await else {
-            dropped(DropReason::SystemError);
+            count_dropped(DropReason::SystemError);
             tokio::time::sleep(ERROR_PAUSE).await;
             continue;
         };
-        take_in(&buffer[..length], from, &queue);
+        process_datagram(&buffer[..length], from, &queue);
     }
 }
 
-fn take_in(bytes: &[u8], from: SocketAddr, queue: &mpsc::Sender<Incoming>) {
-    passed(DATAGRAMS_RECEIVED, DATAGRAM_BYTES_RECEIVED, bytes.len());
+fn process_datagram(bytes: &[u8], from: SocketAddr, queue: &mpsc::Sender<Incoming>) {
+    count_message(DATAGRAMS_RECEIVED, DATAGRAM_BYTES_RECEIVED, bytes.len());
     if bytes.len() > MAX_DATAGRAM_BYTES {
-        dropped(DropReason::TooLong);
+        count_dropped(DropReason::TooLong);
         return;
     }
     match decode(bytes) {
-        Ok(envelope) => deliver(queue, (from, envelope)),
-        Err(_) => dropped(DropReason::Undecodable),
+        Ok(envelope) => enqueue(queue, (from, envelope)),
+        Err(_) => count_dropped(DropReason::Undecodable),
     }
 }
 
-/// Puts a message into the queue, or drops it if the queue is full.
-pub(crate) fn deliver(queue: &mpsc::Sender<Incoming>, incoming: Incoming) {
+/// Enqueues a message, or drops it if the queue is full.
+pub(crate) fn enqueue(queue: &mpsc::Sender<Incoming>, incoming: Incoming) {
     if queue.try_send(incoming).is_err() {
-        dropped(DropReason::QueueFull);
+        count_dropped(DropReason::QueueFull);
     }
 }
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -1,9 +1,9 @@
-//! Carries envelopes between daemons: by UDP if they fit a datagram, else by TCP on the same port
-//! number.
+//! Transport of envelopes between daemons: UDP if they fit a datagram, otherwise TCP on the same
+//! port number.
 //!
-//! Nothing here waits, retries or answers: a message that cannot be sent now is counted and dropped,
-//! as a lost datagram would be, and whoever sent it sends again if it still matters. What comes in
-//! is counted and dropped when it does not decode, is too long or comes too slowly.
+//! The transport does not block, retry or acknowledge: a message that cannot be sent immediately is
+//! counted and dropped, like a lost datagram, and the sender retransmits it if it is still relevant.
+//! Incoming messages that are malformed, too long or not received in time are counted and dropped.
 
 #![warn(clippy::pedantic)]
 #![allow(clippy::module_name_repetitions, clippy::must_use_candidate)]
@@ -19,5 +19,5 @@
 
 use flaxward_wire::Envelope;
 
-/// An envelope and the address of the socket that it came from.
+/// Received envelope and the remote address of the socket that sent it.
 pub type Incoming = (SocketAddr, Envelope);
--- a/crates/peers/src/streams.rs
+++ b/crates/peers/src/streams.rs
@@ -1,4 +1,4 @@
-//! Long messages by TCP: one connection, one message, preceded by its length.
+//! Transport of long messages over TCP: one length-prefixed message per connection.
 
 use std::io;
 use std::net::SocketAddr;
@@ -15,21 +15,22 @@
 
 use crate::Incoming;
 use crate::counters::{
-    DropReason, STREAM_BYTES_RECEIVED, STREAM_BYTES_SENT, STREAMS_RECEIVED, STREAMS_SENT, dropped,
-    passed,
+    DropReason, STREAM_BYTES_RECEIVED, STREAM_BYTES_SENT, STREAMS_RECEIVED, STREAMS_SENT,
+    count_dropped, count_message,
 };
-use crate::datagrams::deliver;
+use crate::datagrams::enqueue;
 
-/// Time for one message, from the connection to its last byte.
+/// Time limit for one message, from opening the connection to its last byte.
 pub(crate) const MESSAGE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Connections read at one time; bounds the memory that senders can make a daemon take.
-const MAX_RECEIVING: usize = 16;
+/// Maximum number of connections read concurrently; bounds the memory that remote senders can make
+/// a daemon allocate.
+const MAX_CONCURRENT_RECEIVES: usize = 16;
 
-/// Messages being sent at one time.
-pub(crate) const MAX_SENDING: usize = 32;
+/// Maximum number of messages sent concurrently.
+pub(crate) const MAX_CONCURRENT_SENDS: usize = 32;
 
-/// Pause after an error of the listener, so that a lasting one does not take a whole core.
+/// Pause after a listener error, so that a persistent error does not occupy a whole core.
 const ERROR_PAUSE: Duration = Duration::from_millis(10);
 
 fn codec() -> LengthDelimitedCodec {
@@ -42,9 +43,9 @@
 pub(crate) async fn send(to: SocketAddr, bytes: Bytes) {
     let length = bytes.len();
     match timeout(MESSAGE_TIMEOUT, write(to, bytes)).await {
-        Ok(Ok(())) => passed(STREAMS_SENT, STREAM_BYTES_SENT, length),
-        Ok(Err(_)) => dropped(DropReason::SystemError),
-        Err(_) => dropped(DropReason::TooSlow),
+        Ok(Ok(())) => count_message(STREAMS_SENT, STREAM_BYTES_SENT, length),
+        Ok(Err(_)) => count_dropped(DropReason::SystemError),
+        Err(_) => count_dropped(DropReason::TooSlow),
     }
 }
 
@@ -55,18 +56,18 @@
     SinkExt::<Bytes>::close(&mut framed).await
 }
 
-/// Accepts connections until the receiver of the queue is gone. When too many are open, further
-/// ones are closed at once.
+/// Accepts connections until the receiver of the queue is dropped. Connections over the limit are
+/// closed immediately.
 pub(crate) async fn receive(listener: TcpListener, queue: mpsc::Sender<Incoming>) {
-    let permits = Arc::new(Semaphore::new(MAX_RECEIVING));
+    let permits = Arc::new(Semaphore::new(MAX_CONCURRENT_RECEIVES));
     while !queue.is_closed() {
         let Ok((stream, from)) = listener.accept().await else {
-            dropped(DropReason::SystemError);
+            count_dropped(DropReason::SystemError);
             tokio::time::sleep(ERROR_PAUSE).await;
             continue;
         };
         let Ok(permit) = Arc::clone(&permits).try_acquire_owned() else {
-            dropped(DropReason::TooMany);
+            count_dropped(DropReason::TooMany);
             continue;
         };
         let queue = queue.clone();
@@ -80,20 +81,20 @@
 async fn read(stream: TcpStream, from: SocketAddr, queue: &mpsc::Sender<Incoming>) {
     let mut framed = Framed::new(stream, codec());
     match timeout(MESSAGE_TIMEOUT, framed.next()).await {
-        Ok(Some(Ok(bytes))) => take_in(&bytes, from, queue),
+        Ok(Some(Ok(bytes))) => process_message(&bytes, from, queue),
         Ok(Some(Err(error))) if error.kind() == io::ErrorKind::InvalidData => {
-            dropped(DropReason::TooLong);
+            count_dropped(DropReason::TooLong);
         }
-        Ok(Some(Err(_))) => dropped(DropReason::SystemError),
-        Ok(None) => dropped(DropReason::Undecodable),
-        Err(_) => dropped(DropReason::TooSlow),
+        Ok(Some(Err(_))) => count_dropped(DropReason::SystemError),
+        Ok(None) => count_dropped(DropReason::Undecodable),
+        Err(_) => count_dropped(DropReason::TooSlow),
     }
 }
 
-fn take_in(bytes: &[u8], from: SocketAddr, queue: &mpsc::Sender<Incoming>) {
-    passed(STREAMS_RECEIVED, STREAM_BYTES_RECEIVED, bytes.len());
+fn process_message(bytes: &[u8], from: SocketAddr, queue: &mpsc::Sender<Incoming>) {
+    count_message(STREAMS_RECEIVED, STREAM_BYTES_RECEIVED, bytes.len());
     match decode(bytes) {
-        Ok(envelope) => deliver(queue, (from, envelope)),
-        Err(_) => dropped(DropReason::Undecodable),
+        Ok(envelope) => enqueue(queue, (from, envelope)),
+        Err(_) => count_dropped(DropReason::Undecodable),
     }
 }
--- a/crates/peers/tests/socket.rs
+++ b/crates/peers/tests/socket.rs
@@ -1,4 +1,4 @@
-//! Envelopes over loopback sockets: short, long, and everything that is none.
+//! Short, long and malformed messages over loopback sockets.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,8 +18,8 @@
 use tokio::sync::mpsc::Receiver;
 use tokio::time::timeout;
 
-/// Longest wait for something that must come.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Maximum wait for an expected event.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
@@ -33,7 +33,7 @@
     }
 }
 
-/// An envelope that names so many members.
+/// An envelope whose message lists the given number of members.
 fn envelope(from: SocketAddr, members: usize) -> Envelope {
     let update = |incarnation| MemberUpdate {
         peer: peer(from),
@@ -52,13 +52,13 @@
 }
 
 async fn next(received: &mut Receiver<Incoming>) -> Incoming {
-    let incoming = timeout(PATIENCE, received.recv()).await;
+    let incoming = timeout(TIMEOUT, received.recv()).await;
     incoming
-        .expect("it comes in time")
-        .expect("the socket lives")
+        .expect("message arrives in time")
+        .expect("socket is open")
 }
 
-/// The values of the counters since the last look; those of dropped messages by their reason.
+/// Counter increments since the last snapshot; those of dropped messages by reason.
 fn counts(snapshotter: &Snapshotter) -> BTreeMap<String, u64> {
     let mut counts = BTreeMap::new();
     for (key, _, _, value) in snapshotter.snapshot().into_vec() {
@@ -72,12 +72,12 @@
 }
 
 #[tokio::test]
-async fn short_messages_go_by_datagram_and_long_ones_by_stream() {
+async fn short_messages_use_datagrams_and_long_ones_use_streams() {
     let recorder = DebuggingRecorder::new();
     let snapshotter = recorder.snapshotter();
     let _guard = metrics::set_default_local_recorder(&recorder);
-    let (first, _first_received) = PeerSocket::bind(any_port()).await.expect("it binds");
-    let (second, mut received) = PeerSocket::bind(any_port()).await.expect("it binds");
+    let (first, _first_received) = PeerSocket::bind(any_port()).await.expect("socket binds");
+    let (second, mut received) = PeerSocket::bind(any_port()).await.expect("socket binds");
     let (to, from) = (second.address(), first.address());
 
     let short = envelope(from, 3);
@@ -96,9 +96,9 @@
 }
 
 #[tokio::test]
-async fn the_longest_datagram_and_the_next_byte_both_arrive() {
-    let (first, _first_received) = PeerSocket::bind(any_port()).await.expect("it binds");
-    let (second, mut received) = PeerSocket::bind(any_port()).await.expect("it binds");
+async fn messages_at_and_just_above_the_datagram_limit_arrive() {
+    let (first, _first_received) = PeerSocket::bind(any_port()).await.expect("socket binds");
+    let (second, mut received) = PeerSocket::bind(any_port()).await.expect("socket binds");
     for length in [MAX_DATAGRAM_BYTES, MAX_DATAGRAM_BYTES + 1] {
         let mut sent = envelope(first.address(), 0);
         let rows = |length| Message::ViewRows {
@@ -106,8 +106,8 @@
             rows: "x".repeat(length),
         };
         sent.message = rows(1_000);
-        let rest = length - encode(&sent).len();
-        sent.message = rows(1_000 + rest);
+        let padding = length - encode(&sent).len();
+        sent.message = rows(1_000 + padding);
         assert_eq!(encode(&sent).len(), length);
         first.send(second.address(), &sent);
         assert_eq!(next(&mut received).await.1, sent);
@@ -115,16 +115,16 @@
 }
 
 #[tokio::test]
-async fn bad_input_is_counted_and_harms_nobody() {
+async fn malformed_input_is_counted_and_does_not_block_valid_messages() {
     let recorder = DebuggingRecorder::new();
     let snapshotter = recorder.snapshotter();
     let _guard = metrics::set_default_local_recorder(&recorder);
-    let (socket, mut received) = PeerSocket::bind(any_port()).await.expect("it binds");
+    let (socket, mut received) = PeerSocket::bind(any_port()).await.expect("socket binds");
     let to = socket.address();
-    let good = envelope(any_port(), 1);
+    let valid = envelope(any_port(), 1);
 
-    let stranger = UdpSocket::bind(any_port()).await.expect("it binds");
-    let mut other_version = encode(&good);
+    let sender = UdpSocket::bind(any_port()).await.expect("socket binds");
+    let mut other_version = encode(&valid);
     other_version[0] = WIRE_VERSION + 1;
     let too_long = vec![WIRE_VERSION; MAX_DATAGRAM_BYTES + 500];
     for datagram in [
@@ -133,65 +133,65 @@
         &other_version,
         &too_long,
     ] {
-        stranger.send_to(datagram, to).await.expect("it sends");
+        sender.send_to(datagram, to).await.expect("send succeeds");
     }
 
-    // Connections: one that says nothing, one that says garbage, one that announces too much.
-    let silent = TcpStream::connect(to).await.expect("it connects");
+    // Three connections: one sends nothing, one sends garbage, one announces an excessive length.
+    let idle = TcpStream::connect(to).await.expect("connect succeeds");
     for bytes in [
         [&4_u32.to_be_bytes()[..], b"junk"].concat(),
         u32::try_from(MAX_MESSAGE_BYTES + 1)
-            .expect("it fits")
+            .expect("length fits u32")
             .to_be_bytes()
             .to_vec(),
     ] {
-        let mut stream = TcpStream::connect(to).await.expect("it connects");
-        stream.write_all(&bytes).await.expect("it sends");
-        let closed = timeout(PATIENCE, stream.read(&mut [0]))
+        let mut stream = TcpStream::connect(to).await.expect("connect succeeds");
+        stream.write_all(&bytes).await.expect("send succeeds");
+        let closed = timeout(TIMEOUT, stream.read(&mut [0]))
             .await
-            .expect("it is closed in time");
+            .expect("connection closes in time");
         assert!(matches!(closed, Ok(0) | Err(_)));
     }
 
-    stranger
-        .send_to(&encode(&good), to)
+    sender
+        .send_to(&encode(&valid), to)
         .await
-        .expect("it sends");
-    assert_eq!(next(&mut received).await.1, good);
+        .expect("send succeeds");
+    assert_eq!(next(&mut received).await.1, valid);
     assert!(received.try_recv().is_err());
     let counts = counts(&snapshotter);
     assert_eq!(counts["undecodable"], 4);
     assert_eq!(counts["too_long"], 2);
-    drop(silent);
+    drop(idle);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_silent_connection_is_closed_and_further_ones_are_taken_again() {
-    let (socket, mut received) = PeerSocket::bind(any_port()).await.expect("it binds");
+async fn idle_connections_time_out_and_new_ones_are_accepted() {
+    let (socket, mut received) = PeerSocket::bind(any_port()).await.expect("socket binds");
     let to = socket.address();
-    let mut silent = Vec::new();
+    let mut idle = Vec::new();
     for _ in 0..40 {
-        silent.push(TcpStream::connect(to).await.expect("it connects"));
+        idle.push(TcpStream::connect(to).await.expect("connect succeeds"));
     }
-    for stream in &mut silent {
+    for stream in &mut idle {
         let closed = stream.read(&mut [0]).await;
         assert!(matches!(closed, Ok(0) | Err(_)));
     }
     let long = envelope(to, 1_000);
     socket.send(to, &long);
-    assert_eq!(received.recv().await.expect("the socket lives").1, long);
+    assert_eq!(received.recv().await.expect("socket is open").1, long);
 }
 
 #[tokio::test]
-async fn a_daemon_that_is_not_there_delays_nobody() {
-    let (socket, mut received) = PeerSocket::bind(any_port()).await.expect("it binds");
-    let (gone, _) = PeerSocket::bind(any_port()).await.expect("it binds");
-    let nobody = gone.address();
-    drop(gone);
+async fn an_unreachable_peer_does_not_delay_other_messages() {
+    let (socket, mut received) = PeerSocket::bind(any_port()).await.expect("socket binds");
+    let (closed_socket, _) = PeerSocket::bind(any_port()).await.expect("socket binds");
+    let unreachable = closed_socket.address();
+    drop(closed_socket);
     for members in [1, 1_000] {
-        socket.send(nobody, &envelope(nobody, members));
+        socket.send(unreachable, &envelope(unreachable, members));
     }
-    let sent = envelope(nobody, 2);
+    let sent = envelope(unreachable, 2);
     socket.send(socket.address(), &sent);
     assert_eq!(next(&mut received).await.1, sent);
 }
@@ -205,21 +205,21 @@
     })]
 
     #[test]
-    fn any_datagrams_leave_the_socket_whole(
+    fn arbitrary_datagrams_do_not_break_the_socket(
         datagrams in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..1_600), 0..30),
     ) {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         let arrived = runtime.block_on(async {
-            let (socket, mut received) = PeerSocket::bind(any_port()).await.expect("it binds");
-            let stranger = UdpSocket::bind(any_port()).await.expect("it binds");
+            let (socket, mut received) = PeerSocket::bind(any_port()).await.expect("socket binds");
+            let sender = UdpSocket::bind(any_port()).await.expect("socket binds");
             for datagram in &datagrams {
-                stranger.send_to(datagram, socket.address()).await.expect("it sends");
+                sender.send_to(datagram, socket.address()).await.expect("send succeeds");
             }
-            let good = envelope(socket.address(), 1);
-            socket.send(socket.address(), &good);
+            let valid = envelope(socket.address(), 1);
+            socket.send(socket.address(), &valid);
             loop {
                 let (_, envelope) = next(&mut received).await;
-                if envelope == good {
+                if envelope == valid {
                     return true;
                 }
             }
--- a/crates/simulation/src/region/back_ends.rs
+++ b/crates/simulation/src/region/back_ends.rs
@@ -5,7 +5,7 @@
 use flaxward_control::coordinator::{CoordinatorEvent, EngineFault};
 use flaxward_control::node::NodeEvent;
 use flaxward_types::{AttemptId, RunnerName};
-use flaxward_wire::{InventoryNews, RunnerReport};
+use flaxward_wire::{InventoryUpdate, RunnerReport};
 
 use super::{Event, Region};
 use crate::gateway::News;
@@ -151,7 +151,7 @@
             _ => NodeEvent::Observed(vec![RunnerReport {
                 runner: runner.clone(),
                 load: Some(engine.load_report()),
-                inventory: InventoryNews::Unread,
+                inventory: InventoryUpdate::Unread,
             }]),
         })
     }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,7 +1,7 @@
 //! Messages between daemons and their encoding (postcard).
 //!
-//! Every message is idempotent and is sent again until it no longer matters, so that datagrams may
-//! be lost, doubled or reordered. A message too long for a datagram goes over TCP.
+//! Every message is idempotent and is retransmitted for as long as it is relevant, so datagrams may
+//! be lost, duplicated or reordered. A message too long for a datagram is sent over TCP.
 
 #![warn(clippy::pedantic)]
 #![allow(clippy::module_name_repetitions, clippy::must_use_candidate)]
@@ -9,7 +9,7 @@
 mod message;
 
 pub use message::{
-    ConfigurationChange, ConfigurationDelta, ConfigurationSnapshot, Envelope, InventoryNews,
+    ConfigurationChange, ConfigurationDelta, ConfigurationSnapshot, Envelope, InventoryUpdate,
     MachineSnapshot, MemberState, MemberUpdate, Message, Peer, RunnerMark, RunnerReport, View,
     ZoneHead,
 };
@@ -17,28 +17,29 @@
 use serde::Serialize;
 use thiserror::Error;
 
-/// First byte of every encoded envelope; raised when the encoding changes incompatibly.
+/// First byte of every encoded envelope; incremented when the encoding changes incompatibly.
 pub const WIRE_VERSION: u8 = 2;
 
-/// Longest encoding sent as a datagram, in bytes; fits an Ethernet frame with IP and UDP headers.
+/// Maximum size of an envelope sent as a datagram, in bytes. Fits an Ethernet frame together with
+/// the IP and UDP headers.
 pub const MAX_DATAGRAM_BYTES: usize = 1_400;
 
-/// Longest encoding accepted over TCP, in bytes.
+/// Maximum size of an envelope accepted over TCP, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 16 * 1024 * 1024;
 
-/// Why bytes are not an envelope.
+/// Error returned by [`decode`].
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum WireError {
-    /// No bytes at all.
+    /// The input is empty.
     #[error("the message is empty")]
     Empty,
-    /// Another version of the encoding.
+    /// The wire version is not supported.
     #[error("the message has wire version {0}, expected {WIRE_VERSION}")]
     Version(u8),
-    /// The bytes do not decode.
+    /// The envelope is malformed.
     #[error("the message cannot be decoded: {0}")]
     Decode(#[from] postcard::Error),
-    /// The envelope decodes and bytes remain.
+    /// Bytes remain after the envelope.
     #[error("{0} bytes follow the message")]
     Trailing(usize),
 }
@@ -46,24 +47,24 @@
 /// Encodes an envelope.
 ///
 /// # Panics
-/// Never: every message type can be encoded into memory.
+/// Never: all message types can be encoded into memory.
 pub fn encode(envelope: &Envelope) -> Vec<u8> {
     let buffer = vec![WIRE_VERSION];
-    postcard::to_extend(envelope, buffer).expect("messages encode into memory")
+    postcard::to_extend(envelope, buffer).expect("messages can always be encoded")
 }
 
-/// Bytes that a part of an envelope takes when encoded, so that senders can fill a datagram.
+/// Encoded size in bytes of a part of an envelope. Senders use it to fill a datagram up to its limit.
 ///
 /// # Panics
-/// Never: every message type can be encoded into memory.
+/// Never: all message types can be encoded into memory.
 pub fn encoded_size<Part: Serialize>(part: &Part) -> usize {
-    postcard::experimental::serialized_size(part).expect("messages encode into memory")
+    postcard::experimental::serialized_size(part).expect("messages can always be encoded")
 }
 
 /// Decodes an envelope.
 ///
 /// # Errors
-/// Fails on another wire version, on bytes that do not decode and on bytes left over.
+/// Fails on an unsupported wire version, malformed input and trailing bytes.
 pub fn decode(bytes: &[u8]) -> Result<Envelope, WireError> {
     let (&version, body) = bytes.split_first().ok_or(WireError::Empty)?;
     if version != WIRE_VERSION {
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -1,4 +1,4 @@
-//! The messages.
+//! Envelope and message types.
 
 use std::net::SocketAddr;
 
@@ -9,223 +9,224 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// A daemon and where it listens for other daemons.
+/// A daemon and its address for peer traffic.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Peer {
-    /// Its name.
+    /// Name of the daemon.
     pub name: DaemonName,
-    /// Its zone.
+    /// Zone of the daemon.
     pub zone: ZoneName,
-    /// Its address for daemons, UDP and TCP alike. An IPv6 scope is not sent.
+    /// Address for peer traffic, the same for UDP and TCP. An IPv6 scope is not transmitted.
     pub address: SocketAddr,
 }
 
-/// What travels: one sender, one message, and facts that ride along.
+/// Unit of transmission: one message from one sender, with piggybacked gossip.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// Who sends it, and where to answer.
+    /// Sender, and the address for replies.
     pub from: Peer,
-    /// Configuration revision in force at the sender.
+    /// Configuration revision applied at the sender.
     pub configuration: Revision,
-    /// Facts about members that ride along.
+    /// Piggybacked membership updates.
     pub members: Vec<MemberUpdate>,
-    /// Coordinators of zones that ride along.
+    /// Piggybacked zone coordinators.
     pub heads: Vec<ZoneHead>,
-    /// Marks on runners that ride along.
+    /// Piggybacked runner marks.
     pub marks: Vec<RunnerMark>,
-    /// The message.
+    /// Message of the envelope.
     pub message: Message,
 }
 
 /// Messages between daemons.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Failure detection: are you there?
+    /// Failure detection: direct probe.
     Probe {
-        /// Comes back in the answer.
+        /// Echoed in the reply.
         sequence: u64,
     },
-    /// Failure detection: ask another member on my behalf.
+    /// Failure detection: indirect probe, which asks the receiver to probe another member.
     ProbeFor {
-        /// Comes back in the answer.
+        /// Echoed in the reply.
         sequence: u64,
-        /// Whom to ask.
+        /// Member to probe.
         target: Peer,
     },
-    /// Failure detection: yes.
+    /// Failure detection: acknowledges a probe.
     Alive {
-        /// The sequence of the probe.
+        /// Sequence number of the probe.
         sequence: u64,
-        /// Who is alive.
+        /// Member that responded.
         target: DaemonName,
     },
-    /// A daemon has just started, or has heard of nobody for long: tell me the members.
+    /// Requests the member list, sent by a daemon that has just started or has received no update from
+    /// any member for a long time.
     Join,
-    /// The members, in answer to a join.
+    /// Member list, in reply to a join.
     Members {
-        /// All members known.
+        /// All members known to the sender.
         members: Vec<MemberUpdate>,
     },
-    /// Rides alone: nothing but the facts in the envelope.
+    /// Carries no payload of its own, only the gossip of the envelope.
     Facts,
-    /// Changes of configuration, sent on by whoever applies them.
+    /// Configuration changes, forwarded by each daemon that applies them.
     Configuration(ConfigurationDelta),
-    /// I have this revision in force; send me what is newer.
+    /// Requests all configuration changes after the revision applied at the sender.
     ConfigurationWanted {
-        /// The revision in force.
+        /// Revision applied at the sender.
         have: Revision,
     },
-    /// A whole configuration.
+    /// Full configuration.
     Snapshot(ConfigurationSnapshot),
-    /// What a gateway wants, to the coordinator of a zone.
+    /// Demand of a gateway, sent to the coordinator of a zone.
     Demands(Vec<Demand>),
-    /// The coordinator's answers.
+    /// Route answers of the coordinator.
     Routes(Vec<RouteAnswer>),
-    /// Answers that the gateway holds and that still hold, in place of sending them again.
+    /// Identifies answers already held by the gateway that are still valid, instead of resending them.
     RoutesHeld(HeldAnswers),
-    /// What an observer saw of runners, to the coordinator of the zone.
+    /// Runner observations, sent to the coordinator of the zone.
     Reports(Vec<RunnerReport>),
-    /// The machine list of the region, from a coordinator to the members of its zone.
+    /// Machine list of the region, sent by a coordinator to the members of its zone.
     Machines(MachineSnapshot),
-    /// Please answer with one view of what you know, for an operator's question.
+    /// Requests one view of the receiver's state for an operator query.
     ViewWanted {
-        /// Comes back in the answer.
+        /// Echoed in the reply.
         sequence: u64,
-        /// Which view.
+        /// Requested view.
         view: View,
     },
-    /// One view, as JSON.
+    /// One view, encoded as JSON.
     ViewRows {
-        /// The sequence of the question.
+        /// Sequence number of the request.
         sequence: u64,
-        /// A JSON value, shaped by the view.
+        /// JSON value whose schema depends on the view.
         rows: String,
     },
 }
 
-/// What a daemon can be asked about itself, for operators.
+/// Part of a daemon's state that operators can query.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum View {
-    /// The daemon itself, its zone if it coordinates one, and the members it knows.
+    /// The daemon itself, the zone it coordinates (if any) and the members known to it.
     Daemon,
-    /// Replicas and what waits for them, of a coordinator.
+    /// Replicas and the demand waiting for them, from a coordinator.
     Artifacts,
-    /// Runners, of a coordinator.
+    /// Runners, from a coordinator.
     Runners,
-    /// Requests waiting and running at this daemon.
+    /// Waiting and running requests at this daemon.
     Requests,
-    /// The decisions that a coordinator has recorded about a model.
+    /// Decisions recorded by a coordinator for a model.
     Decisions(ModelName),
 }
 
-/// Machines that take work, as a coordinator read them from the machine list.
+/// Machines that accept work, as read from the machine list by a coordinator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineSnapshot {
     /// Term of the coordinator; a snapshot of a lower term is ignored.
     pub term: Term,
-    /// Rises within a term.
+    /// Increases within a term.
     pub sequence: u64,
-    /// The machines that run plain services, in every zone.
+    /// Machines that run plain services, in all zones.
     pub services: Vec<Machine>,
-    /// The engines of the zone, for the members that observe them.
+    /// Engines of the zone, for the members that observe them.
     pub engines: Vec<Machine>,
 }
 
 /// State of a member, as in SWIM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MemberState {
-    /// Answers probes.
+    /// Responds to probes.
     Alive,
-    /// Did not answer; may refute this with a higher incarnation.
+    /// Did not respond; may refute the suspicion with a higher incarnation.
     Suspect,
-    /// Is stopping as planned.
+    /// Shutting down as planned.
     Left,
-    /// Did not answer nor refute.
+    /// Did not respond and did not refute the suspicion.
     Dead,
 }
 
-/// One fact about a member.
+/// Membership update for one member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberUpdate {
-    /// The member.
+    /// Member concerned.
     pub peer: Peer,
-    /// Raised only by the member itself, to refute a suspicion or after a restart.
+    /// Incremented only by the member itself, to refute a suspicion or after a restart.
     pub incarnation: u64,
-    /// Its state.
+    /// State of the member.
     pub state: MemberState,
 }
 
-/// Which daemon coordinates a zone.
+/// Coordinator of a zone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneHead {
-    /// The zone.
+    /// Coordinated zone.
     pub zone: ZoneName,
-    /// The term; a head with a higher term replaces one with a lower.
+    /// Term of the coordinator; the entry with the higher term takes precedence.
     pub term: Term,
-    /// The coordinator.
+    /// Daemon that coordinates the zone.
     pub coordinator: Peer,
 }
 
-/// A mark on a runner, spread to every gateway that may send work there.
+/// Mark on a runner, disseminated to every gateway that may send work to it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunnerMark {
-    /// The runner.
+    /// Runner concerned.
     pub runner: RunnerName,
-    /// Whether it takes no new work.
+    /// Whether the runner accepts no new work.
     pub leaving: bool,
-    /// Rises with each change of mind about this runner; the higher one holds.
+    /// Increases with each change of the mark; the highest epoch takes precedence.
     pub epoch: u64,
 }
 
-/// What an observer saw of a runner.
+/// Observation of one runner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunnerReport {
-    /// The runner.
+    /// Runner concerned.
     pub runner: RunnerName,
-    /// Its load; `None` if it did not answer.
+    /// Load of the runner; `None` if it did not respond.
     pub load: Option<LoadReport>,
-    /// Its inventory.
-    pub inventory: InventoryNews,
+    /// Inventory of the runner, relative to the previous report.
+    pub inventory: InventoryUpdate,
 }
 
-/// What an observer tells of a runner's inventory.
+/// Inventory part of a runner report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum InventoryNews {
-    /// It was not read this time.
+pub enum InventoryUpdate {
+    /// Not read for this report.
     Unread,
-    /// It is as last told.
+    /// Unchanged since the last report.
     Same(InventoryVersion),
-    /// It has changed since the observer last told it.
+    /// Changed since the observer last reported it.
     Changed(Inventory),
 }
 
-/// One change of configuration.
+/// One configuration change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ConfigurationChange {
     /// Revision of the change.
     pub revision: Revision,
-    /// What changed.
+    /// Key of the changed item.
     pub key: ItemKey,
-    /// Its new content, or `None` if it was removed.
+    /// New content, or `None` if the item was removed.
     pub item: Option<ConfigurationItem>,
 }
 
-/// All changes of configuration after `from` and up to `to`, in order.
+/// All configuration changes after `from` and up to `to`, in order.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ConfigurationDelta {
-    /// The changes follow this revision.
+    /// Revision that the changes apply to.
     pub from: Revision,
-    /// Nothing else changed up to this revision.
+    /// Revision reached by the changes; there are no others up to it.
     pub to: Revision,
-    /// The changes.
+    /// Changes in order of revision.
     pub changes: Vec<ConfigurationChange>,
 }
 
-/// A whole configuration at one revision.
+/// Full configuration at one revision.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ConfigurationSnapshot {
-    /// The revision.
+    /// Revision of the configuration.
     pub revision: Revision,
-    /// Each item, with the revision of its last change.
+    /// Items, each with the revision of its last change.
     pub items: Vec<(ItemKey, Revision, ConfigurationItem)>,
 }
--- a/crates/wire/tests/encoding.rs
+++ b/crates/wire/tests/encoding.rs
@@ -1,4 +1,4 @@
-//! Envelopes come back as they were sent, and no bytes do harm.
+//! Encoding round trips, and decoding of malformed input without panics.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -10,7 +10,7 @@
     RunnerName, Term, ZoneName,
 };
 use flaxward_wire::{
-    ConfigurationChange, ConfigurationDelta, ConfigurationSnapshot, Envelope, InventoryNews,
+    ConfigurationChange, ConfigurationDelta, ConfigurationSnapshot, Envelope, InventoryUpdate,
     MachineSnapshot, MemberState, MemberUpdate, Message, Peer, RunnerMark, RunnerReport, View,
     WIRE_VERSION, WireError, ZoneHead, decode, encode, encoded_size,
 };
@@ -19,7 +19,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// Addresses as they are sent: an IPv6 scope or flow means nothing on another machine and is not.
+/// Addresses as transmitted, without IPv6 scope and flow, which have no meaning on another machine.
 fn address() -> impl Strategy<Value = SocketAddr> {
     (any::<IpAddr>(), any::<u16>()).prop_map(SocketAddr::from)
 }
@@ -41,7 +41,8 @@
 }
 
 fn artifact() -> impl Strategy<Value = ArtifactId> {
-    "[a-z]{1,9}(:[a-z]{1,9})?@[a-z0-9]{1,9}".prop_map(|text| text.parse().expect("it is one"))
+    "[a-z]{1,9}(:[a-z]{1,9})?@[a-z0-9]{1,9}"
+        .prop_map(|text| text.parse().expect("generated text is a valid artifact id"))
 }
 
 fn update() -> impl Strategy<Value = MemberUpdate> {
@@ -88,15 +89,16 @@
 }
 
 fn delta() -> impl Strategy<Value = ConfigurationDelta> {
-    let change = (any::<u64>(), item(), any::<bool>()).prop_map(|(revision, (key, item), put)| {
-        let revision = Revision(revision);
-        let item = put.then_some(item);
-        ConfigurationChange {
-            revision,
-            key,
-            item,
-        }
-    });
+    let change =
+        (any::<u64>(), item(), any::<bool>()).prop_map(|(revision, (key, item), is_present)| {
+            let revision = Revision(revision);
+            let item = is_present.then_some(item);
+            ConfigurationChange {
+                revision,
+                key,
+                item,
+            }
+        });
     (any::<u64>(), any::<u64>(), vec(change, 0..5)).prop_map(|(from, to, changes)| {
         ConfigurationDelta {
             from: Revision(from),
@@ -186,22 +188,24 @@
             leaving: false,
         })
     };
-    let news = prop_oneof![
-        Just(InventoryNews::Unread),
-        inventory().prop_map(|inventory| InventoryNews::Same(inventory.version())),
-        inventory().prop_map(InventoryNews::Changed),
+    let inventory_update = prop_oneof![
+        Just(InventoryUpdate::Unread),
+        inventory().prop_map(|inventory| InventoryUpdate::Same(inventory.version())),
+        inventory().prop_map(InventoryUpdate::Changed),
     ];
-    (runner(), option::of(any::<u32>()), news).prop_map(|(runner, running, inventory)| {
-        let load = running.map(|running| LoadReport {
-            running,
-            ..LoadReport::default()
-        });
-        RunnerReport {
-            runner,
-            load,
-            inventory,
-        }
-    })
+    (runner(), option::of(any::<u32>()), inventory_update).prop_map(
+        |(runner, running, inventory)| {
+            let load = running.map(|running| LoadReport {
+                running,
+                ..LoadReport::default()
+            });
+            RunnerReport {
+                runner,
+                load,
+                inventory,
+            }
+        },
+    )
 }
 
 fn message() -> impl Strategy<Value = Message> {
@@ -266,20 +270,20 @@
     })]
 
     #[test]
-    fn an_envelope_comes_back_as_it_was(envelope in envelope()) {
+    fn envelopes_round_trip(envelope in envelope()) {
         let bytes = encode(&envelope);
         prop_assert_eq!(bytes.len(), 1 + encoded_size(&envelope));
         prop_assert_eq!(decode(&bytes), Ok(envelope));
     }
 
     #[test]
-    fn garbage_is_refused_or_read_but_does_no_harm(bytes in vec(any::<u8>(), 0..2_000)) {
+    fn arbitrary_bytes_do_not_panic(bytes in vec(any::<u8>(), 0..2_000)) {
         let _ = decode(&bytes);
         let _ = decode(&[&[WIRE_VERSION], &bytes[..]].concat());
     }
 
     #[test]
-    fn a_damaged_envelope_does_no_harm(
+    fn a_corrupted_envelope_does_not_panic(
         envelope in envelope(),
         position: prop::sample::Index,
         value: u8,
@@ -291,22 +295,22 @@
     }
 
     #[test]
-    fn a_part_of_an_envelope_is_refused(envelope in envelope(), length: prop::sample::Index) {
+    fn a_truncated_envelope_is_rejected(envelope in envelope(), length: prop::sample::Index) {
         let bytes = encode(&envelope);
         prop_assert!(decode(&bytes[..length.index(bytes.len())]).is_err());
     }
 
     #[test]
-    fn bytes_after_an_envelope_are_refused(
+    fn trailing_bytes_are_rejected(
         envelope in envelope(),
-        rest in vec(any::<u8>(), 1..9),
+        trailing in vec(any::<u8>(), 1..9),
     ) {
-        let bytes = [encode(&envelope), rest.clone()].concat();
-        prop_assert_eq!(decode(&bytes), Err(WireError::Trailing(rest.len())));
+        let bytes = [encode(&envelope), trailing.clone()].concat();
+        prop_assert_eq!(decode(&bytes), Err(WireError::Trailing(trailing.len())));
     }
 
     #[test]
-    fn another_wire_version_is_refused(envelope in envelope(), version: u8) {
+    fn an_unsupported_wire_version_is_rejected(envelope in envelope(), version: u8) {
         prop_assume!(version != WIRE_VERSION);
         let mut bytes = encode(&envelope);
         bytes[0] = version;
