--- a/crates/ingress/src/counted_store.rs
+++ b/crates/ingress/src/counted_store.rs
@@ -1,5 +1,5 @@
-//! Counts calls to the store by what they are for and what came of them. Each call costs the operators something, and
-//! which kind grows with the fleet cannot be told from their sum.
+//! Counts calls to the store by purpose and outcome. Each call puts load on the operators' store,
+//! and the sum alone does not show which kind of call grows with the fleet.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,8 +12,8 @@
 use flaxward_routing::runners::Runner;
 
 use crate::counters::STORE_CALLS;
-use crate::outside::{
-    Changed, ClusterStore, Freshness, LeaseReading, Listing, RunnerChange, StoreError, TakePage,
+use crate::interfaces::{
+    Changed, ClusterStore, Freshness, LeaseLookup, Listing, PageHandler, RunnerChange, StoreError,
     Watched,
 };
 
@@ -27,7 +27,7 @@
     }
 }
 
-/// Counts a call that has ended.
+/// Counts a completed call.
 fn counted<Answer>(
     call: &'static str,
     answer: Result<Answer, StoreError>,
@@ -72,7 +72,7 @@
     async fn runners_by_page(
         &self,
         freshness: Freshness,
-        take_page: &TakePage<'_>,
+        take_page: &PageHandler<'_>,
     ) -> Result<Listing<Runner>, StoreError> {
         counted(
             "runners",
@@ -92,16 +92,16 @@
         counted("evacuations", self.0.evacuated_zones().await)
     }
 
-    async fn evacuations_changed(
+    async fn watch_evacuation_changes(
         &self,
         after: StoreRevision,
         wait: Duration,
     ) -> Result<Watched, StoreError> {
-        let answer = self.0.evacuations_changed(after, wait).await;
+        let answer = self.0.watch_evacuation_changes(after, wait).await;
         counted("watch-evacuations", answer)
     }
 
-    async fn lease(&self) -> Result<LeaseReading, StoreError> {
+    async fn lease(&self) -> Result<LeaseLookup, StoreError> {
         counted("lease", self.0.lease().await)
     }
 
--- a/crates/ingress/tests/ingress/main.rs
+++ b/crates/ingress/tests/ingress/main.rs
@@ -1,21 +1,21 @@
-//! The ingress over real sockets on the loopback, against a store in memory and scripted runners.
+//! Integration tests of the ingress over loopback sockets, with an in-memory store and scripted runners.
 
 mod access;
 mod cold_runners;
 mod coordination;
 mod crashing_requests;
 mod crashing_runner;
-mod earlier_coordinator;
 mod failures;
 mod homes;
+mod incarnations;
 mod leaving_runners;
+mod legacy_coordinator;
 mod limited_runners;
-mod lives;
 mod requests;
 mod resting_runners;
 mod restored_store;
 mod runner;
-mod standstill;
+mod stall;
 mod stops;
 mod store;
 mod support;
