--- a/crates/gateway/benches/relay.rs
+++ b/crates/gateway/benches/relay.rs
@@ -1,8 +1,10 @@
-//! Cost of relaying token events: the gateway beside a bare pass-through of the same libraries.
+//! Benchmark of the cost of relaying token events: the gateway compared with a plain pass-through
+//! built on the same libraries.
 //!
-//! Engine and callers have threads of their own; the relay has one thread, whose processor time is
-//! read from the kernel. Run with `cargo bench -p flaxward-gateway`. `FLAXWARD_BENCH_STREAMS` and
-//! `FLAXWARD_BENCH_TOKENS` change the size, `FLAXWARD_BENCH_DECODE_US` the pace of each stream.
+//! The engine and the callers run on separate threads; the relay runs on a single thread, whose
+//! processor time is read from the kernel. Run with `cargo bench -p flaxward-gateway`.
+//! `FLAXWARD_BENCH_STREAMS` and `FLAXWARD_BENCH_TOKENS` set the number of streams and of tokens per
+//! stream, `FLAXWARD_BENCH_DECODE_US` the decode time per token in microseconds.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -32,14 +34,14 @@
 const ARTIFACT: &str = "turbine@v1";
 const PATH: &str = "/v1/completions";
 
-/// A relay that knows nothing of what it passes on.
-struct Bare {
+/// A relay that forwards requests and responses without parsing them.
+struct PassThrough {
     client: reqwest::Client,
     engine: SocketAddr,
 }
 
 #[async_trait]
-impl Handler for Bare {
+impl Handler for PassThrough {
     async fn handle(
         &self,
         request: &mut Request,
@@ -49,12 +51,14 @@
     ) {
         let body = request.payload().await.expect("a body").clone();
         let url = format!("http://{}{PATH}", self.engine);
-        let answer = self.client.post(url).body(body).send().await;
-        response.body(ResBody::stream(answer.expect("an answer").bytes_stream()));
+        let engine_response = self.client.post(url).body(body).send().await;
+        response.body(ResBody::stream(
+            engine_response.expect("a response").bytes_stream(),
+        ));
     }
 }
 
-/// Processor time of the calling thread.
+/// Processor time used by the calling thread.
 fn processor_time() -> Duration {
     let text = std::fs::read_to_string("/proc/thread-self/schedstat").expect("kernel statistics");
     let nanoseconds = text.split(' ').next().and_then(|text| text.parse().ok());
@@ -95,11 +99,11 @@
     Configuration::new(Revision(1), items)
 }
 
-/// A gateway that knows one replica.
+/// A gateway with a single replica.
 fn gateway(engine: SocketAddr, store: &str) -> Router {
     let zone = ZoneName::literal("scl-a");
-    let (configured, configuration) = watch::channel(Arc::new(configuration()));
-    let (demands, mut demanded) = mpsc::unbounded_channel();
+    let (configuration_sender, configuration) = watch::channel(Arc::new(configuration()));
+    let (demands, mut demand_receiver) = mpsc::unbounded_channel();
     let store = ObjectsHttp::new(store, "scl-a/d1", TimeLimits::default());
     let gateway = Gateway::new(
         GatewaySettings::new(vec![zone.clone()]),
@@ -111,12 +115,12 @@
     );
     gateway.on_heads(BTreeSet::from([zone.clone()]));
     let router = gateway.router();
-    let ticking = Arc::clone(&gateway);
-    tokio::spawn(async move { ticking.run().await });
+    let background = Arc::clone(&gateway);
+    tokio::spawn(async move { background.run().await });
     tokio::spawn(async move {
-        let _configured = configured;
+        let _configuration_sender = configuration_sender;
         let mut sequence = 0;
-        while demanded.recv().await.is_some() {
+        while demand_receiver.recv().await.is_some() {
             sequence += 1;
             gateway.on_routes(vec![RouteAnswer {
                 artifact: ARTIFACT.parse().expect("an artifact"),
@@ -135,13 +139,13 @@
     router
 }
 
-/// Runs a relay on a thread of its own while the callers read; returns its processor time.
+/// Runs a relay on a separate thread while the callers read; returns its processor time.
 fn measure(
     name: &str,
-    make: impl FnOnce() -> Router + Send + 'static,
+    make_router: impl FnOnce() -> Router + Send + 'static,
     callers: impl Fn(SocketAddr),
 ) -> Duration {
-    let (told, address) = channel();
+    let (address_sender, address) = channel();
     let (stop, stopped) = tokio::sync::oneshot::channel();
     let thread = std::thread::Builder::new().name(name.to_owned());
     let relay = thread.spawn(move || {
@@ -151,11 +155,13 @@
         runtime.expect("a runtime").block_on(async {
             let acceptor = listen(ANY_PORT).await.expect("a free port");
             let address = acceptor.local_addr();
-            tokio::spawn(Server::new(acceptor).serve(make()));
-            told.send(address.expect("an address")).expect("a listener");
-            let before = processor_time();
+            tokio::spawn(Server::new(acceptor).serve(make_router()));
+            address_sender
+                .send(address.expect("an address"))
+                .expect("a listener");
+            let time_at_start = processor_time();
             let _ = stopped.await;
-            processor_time().saturating_sub(before)
+            processor_time().saturating_sub(time_at_start)
         })
     });
     let relay = relay.expect("a thread");
@@ -169,7 +175,7 @@
     let body =
         format!(r#"{{"model":"{ARTIFACT}","prompt":"why","stream":true,"max_tokens":{tokens}}}"#);
     let request = client.post(format!("http://{address}{PATH}")).body(body);
-    let mut chunks = request.send().await.expect("an answer").bytes_stream();
+    let mut chunks = request.send().await.expect("a response").bytes_stream();
     let mut length = 0;
     while let Some(chunk) = chunks.next().await {
         length += chunk.expect("a chunk").len();
@@ -209,7 +215,7 @@
     let store = store.url();
     let callers = |relay: SocketAddr| {
         let client = reqwest::Client::new();
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let all = (0..streams).map(|_| runtime.spawn(read_stream(client.clone(), relay, tokens)));
         let lengths = runtime.block_on(futures::future::join_all(all));
         let lengths: BTreeSet<usize> = lengths
@@ -218,30 +224,30 @@
             .collect();
         println!(
             "  {:.2} s, lengths {lengths:?}",
-            begun.elapsed().as_secs_f64()
+            started_at.elapsed().as_secs_f64()
         );
     };
     let events = streams * tokens;
     let per_event = |time: Duration| time.as_secs_f64() * 1e6 / events as f64;
-    println!("{streams} streams of {tokens} tokens, one token in {decode_us} us");
+    println!("{streams} streams of {tokens} tokens, {decode_us} us per token");
     for round in 0..3 {
-        let bare = measure(
-            "bare",
+        let pass_through = measure(
+            "pass-through",
             move || {
                 let client = back_end_client(Duration::from_secs(1)).expect("a client");
                 let engine = address;
-                Router::with_path("{**rest}").goal(Bare { client, engine })
+                Router::with_path("{**rest}").goal(PassThrough { client, engine })
             },
             callers,
         );
         let store = store.clone();
         let relay = measure("gateway", move || gateway(address, &store), callers);
         println!(
-            "round {round}: bare {:.2} us, gateway {:.2} us an event; {:.0} events a second on a core; {:.2} of bare",
-            per_event(bare),
+            "round {round}: pass-through {:.2} us/event, gateway {:.2} us/event, {:.0} events/s per core, {:.2} of pass-through throughput",
+            per_event(pass_through),
             per_event(relay),
             1e6 / per_event(relay),
-            per_event(bare) / per_event(relay),
+            per_event(pass_through) / per_event(relay),
         );
     }
 }
--- a/crates/gateway/tests/gateway/main.rs
+++ b/crates/gateway/tests/gateway/main.rs
@@ -1,5 +1,5 @@
-//! The gateway against stand-ins of the engines, the services and the object API; the coordinator
-//! is the test.
+//! Integration tests of the gateway against emulated engines, services and object API; the tests
+//! take the role of the coordinator.
 
 mod crashing_requests;
 mod refusals;
--- a/crates/gateway/tests/gateway/refusals.rs
+++ b/crates/gateway/tests/gateway/refusals.rs
@@ -1,4 +1,4 @@
-//! Every refusal: its code, its status, what it says about running, and when to come back.
+//! Refusals: result code, HTTP status, `not_run` flag and `retry-after` header.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -15,93 +15,97 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-use crate::support::{Bench, Got, fetch};
+use crate::support::{FetchedResponse, Harness, fetch};
 
 const COMPLETIONS: &str = "/v1/completions";
 const CHAT: &str = "/v1/chat/completions";
-const GOOD: &str = r#"{"model":"turbine","prompt":"why"}"#;
+const VALID_BODY: &str = r#"{"model":"turbine","prompt":"why"}"#;
 
-/// Checks what every refusal must say.
-fn check(case: &str, got: &Got, code: ResultCode) {
-    let error = got.error();
-    assert_eq!(error["code"], code.number(), "{case}: {}", got.text);
+/// Checks the error body, the status and the headers that every refusal must have.
+fn assert_refusal(case: &str, response: &FetchedResponse, code: ResultCode) {
+    let error = response.error();
+    assert_eq!(error["code"], code.number(), "{case}: {}", response.text);
     assert_eq!(error["name"], format!("{code:?}"), "{case}");
-    assert_eq!(got.status, code.http_status(), "{case}");
+    assert_eq!(response.status, code.http_status(), "{case}");
     assert_eq!(error["not_run"], code.not_run(), "{case}");
     assert_eq!(
         error["request_id"],
-        got.headers["x-request-id"].to_str().unwrap(),
+        response.headers["x-request-id"].to_str().unwrap(),
         "{case}"
     );
-    let may_pass = matches!(got.status, 503 | 504);
+    let is_transient = matches!(response.status, 503 | 504);
     assert_eq!(
-        got.retry_after().is_some(),
-        may_pass,
-        "{case}: when to come back"
+        response.retry_after().is_some(),
+        is_transient,
+        "{case}: presence of retry-after"
     );
 }
 
 #[tokio::test]
-async fn what_cannot_be_read_is_refused_with_its_code() {
+async fn invalid_requests_are_refused_with_the_matching_code() {
     use ResultCode as Code;
     let long = "x".repeat(2_000);
     let headers = "x".repeat(20_000);
     let post = Method::POST;
     let get = Method::GET;
-    let none: (&str, &str) = ("accept", "*/*");
+    let no_header: (&str, &str) = ("accept", "*/*");
     #[rustfmt::skip]
     let cases = [
-        (&post, COMPLETIONS, none, "{", Code::BadBody),
-        (&post, COMPLETIONS, none, "", Code::BadBody),
-        (&post, COMPLETIONS, none, "[1]", Code::BadBody),
-        (&post, COMPLETIONS, none, "\u{0}\u{1}", Code::BadBody),
-        (&post, COMPLETIONS, none, r#"{"prompt":"why"}"#, Code::BadBody),
-        (&post, COMPLETIONS, none, r#"{"model":7,"prompt":"why"}"#, Code::BadBody),
-        (&post, COMPLETIONS, none, r#"{"model":"turbine"}"#, Code::BadBody),
-        (&post, COMPLETIONS, none, r#"{"model":"turbine","prompt":"why","stream":"yes"}"#, Code::BadBody),
-        (&post, CHAT, none, GOOD, Code::BadBody),
-        (&post, COMPLETIONS, ("x-flaxward-deadline", "soon"), GOOD, Code::BadHeader),
-        (&post, COMPLETIONS, ("x-flaxward-deadline", "-1s"), GOOD, Code::BadHeader),
-        (&post, COMPLETIONS, ("x-flaxward-priority", "10"), GOOD, Code::BadHeader),
-        (&post, COMPLETIONS, ("x-flaxward-priority", "high"), GOOD, Code::BadHeader),
-        (&post, COMPLETIONS, ("x-flaxward-repeatable", "maybe"), GOOD, Code::BadHeader),
-        (&post, COMPLETIONS, ("idempotency-key", ""), GOOD, Code::BadHeader),
-        (&post, COMPLETIONS, ("idempotency-key", "orden ñ"), GOOD, Code::BadHeader),
-        (&post, COMPLETIONS, ("x-request-id", &headers[..300]), GOOD, Code::BadHeader),
-        (&post, COMPLETIONS, ("x-anything", &headers), GOOD, Code::HeadersTooLong),
-        (&post, COMPLETIONS, none, r#"{"model":"nothing","prompt":"why"}"#, Code::UnknownModel),
-        (&post, COMPLETIONS, none, r#"{"model":"TURBINE!","prompt":"why"}"#, Code::UnknownModel),
-        (&post, COMPLETIONS, none, r#"{"model":"turbine@v9","prompt":"why"}"#, Code::UnknownModel),
-        (&post, COMPLETIONS, none, r#"{"model":"turbine:a@v1","prompt":"why"}"#, Code::UnknownModel),
-        (&post, COMPLETIONS, none, r#"{"model":"full","prompt":"why"}"#, Code::QueueFull),
-        (&post, COMPLETIONS, ("x-flaxward-deadline", "0s"), GOOD, Code::DeadlinePassed),
-        (&post, COMPLETIONS, none, &long, Code::BodyTooLong),
-        (&post, "/services/nothing/a", none, "", Code::UnknownService),
-        (&get, "/services/NOTHING!/a", none, "", Code::UnknownService),
-        (&get, COMPLETIONS, none, "", Code::UnknownPath),
-        (&post, "/v1/models", none, "", Code::UnknownPath),
-        (&get, "/", none, "", Code::UnknownPath),
-        (&get, "/services", none, "", Code::UnknownPath),
-        (&get, "/v1/../etc/passwd%00%ff", none, "", Code::UnknownPath),
+        (&post, COMPLETIONS, no_header, "{", Code::BadBody),
+        (&post, COMPLETIONS, no_header, "", Code::BadBody),
+        (&post, COMPLETIONS, no_header, "[1]", Code::BadBody),
+        (&post, COMPLETIONS, no_header, "\u{0}\u{1}", Code::BadBody),
+        (&post, COMPLETIONS, no_header, r#"{"prompt":"why"}"#, Code::BadBody),
+        (&post, COMPLETIONS, no_header, r#"{"model":7,"prompt":"why"}"#, Code::BadBody),
+        (&post, COMPLETIONS, no_header, r#"{"model":"turbine"}"#, Code::BadBody),
+        (&post, COMPLETIONS, no_header, r#"{"model":"turbine","prompt":"why","stream":"yes"}"#, Code::BadBody),
+        (&post, CHAT, no_header, VALID_BODY, Code::BadBody),
+        (&post, COMPLETIONS, ("x-flaxward-deadline", "soon"), VALID_BODY, Code::BadHeader),
+        (&post, COMPLETIONS, ("x-flaxward-deadline", "-1s"), VALID_BODY, Code::BadHeader),
+        (&post, COMPLETIONS, ("x-flaxward-priority", "10"), VALID_BODY, Code::BadHeader),
+        (&post, COMPLETIONS, ("x-flaxward-priority", "high"), VALID_BODY, Code::BadHeader),
+        (&post, COMPLETIONS, ("x-flaxward-repeatable", "maybe"), VALID_BODY, Code::BadHeader),
+        (&post, COMPLETIONS, ("idempotency-key", ""), VALID_BODY, Code::BadHeader),
+        (&post, COMPLETIONS, ("idempotency-key", "orden ñ"), VALID_BODY, Code::BadHeader),
+        (&post, COMPLETIONS, ("x-request-id", &headers[..300]), VALID_BODY, Code::BadHeader),
+        (&post, COMPLETIONS, ("x-anything", &headers), VALID_BODY, Code::HeadersTooLong),
+        (&post, COMPLETIONS, no_header, r#"{"model":"nothing","prompt":"why"}"#, Code::UnknownModel),
+        (&post, COMPLETIONS, no_header, r#"{"model":"TURBINE!","prompt":"why"}"#, Code::UnknownModel),
+        (&post, COMPLETIONS, no_header, r#"{"model":"turbine@v9","prompt":"why"}"#, Code::UnknownModel),
+        (&post, COMPLETIONS, no_header, r#"{"model":"turbine:a@v1","prompt":"why"}"#, Code::UnknownModel),
+        (&post, COMPLETIONS, no_header, r#"{"model":"full","prompt":"why"}"#, Code::QueueFull),
+        (&post, COMPLETIONS, ("x-flaxward-deadline", "0s"), VALID_BODY, Code::DeadlinePassed),
+        (&post, COMPLETIONS, no_header, &long, Code::BodyTooLong),
+        (&post, "/services/nothing/a", no_header, "", Code::UnknownService),
+        (&get, "/services/NOTHING!/a", no_header, "", Code::UnknownService),
+        (&get, COMPLETIONS, no_header, "", Code::UnknownPath),
+        (&post, "/v1/models", no_header, "", Code::UnknownPath),
+        (&get, "/", no_header, "", Code::UnknownPath),
+        (&get, "/services", no_header, "", Code::UnknownPath),
+        (&get, "/v1/../etc/passwd%00%ff", no_header, "", Code::UnknownPath),
     ];
-    let bench = Bench::start(|settings| settings.body_limit = 1_000).await;
-    bench.answer(&[], Outlook::Loading { estimate_ms: 1_000 });
+    let harness = Harness::start(|settings| settings.body_limit = 1_000).await;
+    harness.set_routing(&[], Outlook::Loading { estimate_ms: 1_000 });
     for (method, path, (name, value), body, code) in cases {
         let case = format!("{method} {path} {name}: {value:.20} {body:.60}");
-        let request = bench.request(method.clone(), path).header(name, value);
-        check(&case, &fetch(request.body(body.to_owned())).await, code);
+        let request = harness.request(method.clone(), path).header(name, value);
+        assert_refusal(&case, &fetch(request.body(body.to_owned())).await, code);
     }
-    let twice = bench.request(post, COMPLETIONS).body(GOOD);
-    let twice = twice.header("x-flaxward-priority", "1");
-    let got = fetch(twice.header("x-flaxward-priority", "2")).await;
-    check("a header given twice", &got, Code::BadHeader);
-    assert_eq!(bench.accepted(), [0, 0], "nothing of it has run");
-    assert_eq!(bench.gateway.waiting(), 0);
+    let duplicated = harness.request(post, COMPLETIONS).body(VALID_BODY);
+    let duplicated = duplicated.header("x-flaxward-priority", "1");
+    let response = fetch(duplicated.header("x-flaxward-priority", "2")).await;
+    assert_refusal("duplicate header", &response, Code::BadHeader);
+    assert_eq!(
+        harness.accepted_requests(),
+        [0, 0],
+        "no refused request has run"
+    );
+    assert_eq!(harness.gateway.waiting(), 0);
 }
 
 #[tokio::test]
-async fn a_body_that_is_long_or_late_harms_nobody() {
-    let bench = Bench::start(|settings| {
+async fn oversized_and_slow_bodies_do_not_affect_other_requests() {
+    let harness = Harness::start(|settings| {
         settings.body_limit = 1_000;
         settings.body_timeout = Duration::from_millis(100);
     })
@@ -109,41 +113,41 @@
     let chunked = reqwest::Body::wrap_stream(futures::stream::iter(
         (0..4).map(|_| Ok::<_, std::io::Error>("x".repeat(400))),
     ));
-    let got = fetch(bench.request(Method::POST, COMPLETIONS).body(chunked)).await;
-    check("chunked", &got, ResultCode::BodyTooLong);
-    let mut slow = TcpStream::connect(bench.address).await.unwrap();
+    let response = fetch(harness.request(Method::POST, COMPLETIONS).body(chunked)).await;
+    assert_refusal("chunked", &response, ResultCode::BodyTooLong);
+    let mut slow = TcpStream::connect(harness.address).await.unwrap();
     let head = "POST /v1/completions HTTP/1.1\r\nhost: a\r\ncontent-length: 50\r\n\r\n{";
     slow.write_all(head.as_bytes()).await.unwrap();
-    let neighbour = fetch(bench.request(Method::POST, COMPLETIONS).body(GOOD)).await;
-    assert_eq!(neighbour.status, 200, "{}", neighbour.text);
-    let mut long = TcpStream::connect(bench.address).await.unwrap();
+    let concurrent = fetch(harness.request(Method::POST, COMPLETIONS).body(VALID_BODY)).await;
+    assert_eq!(concurrent.status, 200, "{}", concurrent.text);
+    let mut long = TcpStream::connect(harness.address).await.unwrap();
     let head = head.replace("50", "5000");
     long.write_all(head.as_bytes()).await.unwrap();
     for (mut caller, status, code) in [(slow, "408", "1006"), (long, "413", "1005")] {
-        let mut answer = vec![0; 4_096];
-        let length = caller.read(&mut answer).await.unwrap();
-        let answer = String::from_utf8_lossy(&answer[..length]).into_owned();
+        let mut raw_response = vec![0; 4_096];
+        let length = caller.read(&mut raw_response).await.unwrap();
+        let raw_response = String::from_utf8_lossy(&raw_response[..length]).into_owned();
         let start = format!("HTTP/1.1 {status}");
-        let is_right = answer.starts_with(&start) && answer.contains(code);
-        assert!(is_right, "{answer}");
+        let is_expected = raw_response.starts_with(&start) && raw_response.contains(code);
+        assert!(is_expected, "{raw_response}");
     }
 }
 
-/// A state of the gateway and what a good request gets.
-type State = (
+/// A condition of the gateway, with the code and `retry-after` that a valid request is refused with.
+type RefusalCase = (
     &'static str,
     fn(&mut GatewaySettings),
-    fn(&Bench),
+    fn(&Harness),
     ResultCode,
     Option<u64>,
 );
 
-const STATES: &[State] = &[
+const REFUSAL_CASES: &[RefusalCase] = &[
     (
-        "a load that takes too long",
+        "model load estimate exceeds the deadline",
         |_| {},
-        |bench| {
-            bench.answer(
+        |harness| {
+            harness.set_routing(
                 &[],
                 Outlook::Loading {
                     estimate_ms: 40_000,
@@ -154,35 +158,35 @@
         Some(40),
     ),
     (
-        "a load that never ends",
+        "model load does not finish before the deadline",
         |_| {},
-        |bench| bench.answer(&[], Outlook::Loading { estimate_ms: 0 }),
+        |harness| harness.set_routing(&[], Outlook::Loading { estimate_ms: 0 }),
         ResultCode::DeadlinePassed,
         Some(5),
     ),
     (
-        "a longer deadline than allowed",
+        "deadline capped at the maximum",
         |settings| settings.max_deadline = Duration::ZERO,
         |_| {},
         ResultCode::DeadlinePassed,
         Some(5),
     ),
     (
-        "an answer that is lost, and nobody else to ask",
+        "response lost, no other replica",
         |settings| settings.admission.avoid_period = Duration::from_secs(10),
-        |bench| {
-            bench.answer(&[0], Outlook::Ready);
-            bench.add_fault(0, StreamFault::LoseAnswer, Strikes::always());
+        |harness| {
+            harness.set_routing(&[0], Outlook::Ready);
+            harness.add_fault(0, StreamFault::LoseAnswer, Strikes::always());
         },
         ResultCode::OutcomeUnknown,
         None,
     ),
     (
-        "a refusal of the coordinator",
+        "refused by the coordinator",
         |_| {},
-        |bench| {
+        |harness| {
             let code = ResultCode::NoMemory;
-            bench.answer(
+            harness.set_routing(
                 &[],
                 Outlook::Refused {
                     code,
@@ -194,28 +198,28 @@
         Some(8),
     ),
     (
-        "no quota anywhere",
+        "no quota in any zone",
         |settings| settings.admission.coordinator_grace = Duration::from_millis(100),
-        |bench| bench.answer(&[], Outlook::Elsewhere { zones: Vec::new() }),
+        |harness| harness.set_routing(&[], Outlook::Elsewhere { zones: Vec::new() }),
         ResultCode::NoQuota,
         Some(5),
     ),
     (
         "no coordinator",
         |settings| settings.admission.coordinator_grace = Duration::from_millis(100),
-        |bench| bench.gateway.on_heads(BTreeSet::new()),
+        |harness| harness.gateway.on_heads(BTreeSet::new()),
         ResultCode::NoCoordinator,
         Some(5),
     ),
     (
-        "too many requests",
+        "too many requests in progress",
         |settings| settings.max_in_progress = 0,
         |_| {},
         ResultCode::Overloaded,
         Some(5),
     ),
     (
-        "too many bytes",
+        "request bytes held exceed the limit",
         |settings| settings.held_bytes = 10,
         |_| {},
         ResultCode::Overloaded,
@@ -224,15 +228,21 @@
     (
         "no configuration",
         |_| {},
-        |bench| drop(bench.configuration.send(Arc::new(Configuration::default()))),
+        |harness| {
+            drop(
+                harness
+                    .configuration
+                    .send(Arc::new(Configuration::default())),
+            )
+        },
         ResultCode::NoConfiguration,
         Some(5),
     ),
     (
-        "engines that refuse",
+        "all engines refuse with 503",
         |_| {},
-        |bench| {
-            for engine in &bench.engines {
+        |harness| {
+            for engine in &harness.engines {
                 engine.update_faults(|faults| faults.down = true);
             }
         },
@@ -240,11 +250,11 @@
         Some(5),
     ),
     (
-        "engines that answer too late",
+        "engines send no token before the deadline",
         |_| {},
-        |bench| {
+        |harness| {
             for index in 0..2 {
-                bench.add_fault(
+                harness.add_fault(
                     index,
                     StreamFault::DelayFirstToken(30_000),
                     Strikes::always(),
@@ -257,19 +267,25 @@
 ];
 
 #[tokio::test]
-async fn a_good_request_that_cannot_be_served_is_told_why_and_when_to_come_back() {
-    for (case, change, prepare, code, retry_after) in STATES {
+async fn valid_requests_that_cannot_be_served_are_refused_with_a_code_and_retry_after() {
+    for (case, configure, prepare, code, retry_after) in REFUSAL_CASES {
         for stream in [false, true] {
-            let bench = Bench::start(change).await;
-            prepare(&bench);
+            let harness = Harness::start(configure).await;
+            prepare(&harness);
             let body = json!({"model": "turbine", "prompt": "why", "stream": stream});
-            let request = bench.complete(&body).header("x-flaxward-deadline", "300ms");
-            let got = fetch(request.header("x-request-id", "r-1")).await;
-            check(case, &got, *code);
-            assert_eq!(got.retry_after(), *retry_after, "{case}");
-            assert_eq!(got.headers["x-request-id"], "r-1", "{case}");
+            let request = harness
+                .completion_request(&body)
+                .header("x-flaxward-deadline", "300ms");
+            let response = fetch(request.header("x-request-id", "r-1")).await;
+            assert_refusal(case, &response, *code);
+            assert_eq!(response.retry_after(), *retry_after, "{case}");
+            assert_eq!(response.headers["x-request-id"], "r-1", "{case}");
             if code.not_run() {
-                assert_eq!(bench.accepted(), [0, 0], "{case}: not run");
+                assert_eq!(
+                    harness.accepted_requests(),
+                    [0, 0],
+                    "{case}: accepted by an engine"
+                );
             }
         }
     }
--- a/crates/gateway/tests/gateway/scanner.rs
+++ b/crates/gateway/tests/gateway/scanner.rs
@@ -1,11 +1,11 @@
-//! Properties of the scanner of server-sent events.
+//! Property tests of the scanner for server-sent events.
 
 use bytes::Bytes;
 use flaxward_gateway::{Event, EventError, EventScanner};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-fn config() -> ProptestConfig {
+fn proptest_config() -> ProptestConfig {
     let cases = std::env::var("FLAXWARD_PROPTEST_CASES").ok();
     ProptestConfig {
         cases: cases.and_then(|text| text.parse().ok()).unwrap_or(512),
@@ -15,27 +15,27 @@
     }
 }
 
-/// An event as text, and what it is.
-fn event() -> impl Strategy<Value = (String, Event)> {
+/// An event as text, with the expected scan result.
+fn any_event() -> impl Strategy<Value = (String, Event)> {
     let line_end = prop_oneof![Just("\n"), Just("\r\n")];
-    let kind = prop_oneof![
+    let event = prop_oneof![
         6 => any::<u64>().prop_map(Event::Token),
         1 => Just(Event::End),
         1 => Just(Event::Unnumbered),
         1 => Just(Event::Comment),
     ];
-    (kind, line_end, "[ -~]{0,30}").prop_map(|(kind, end, text)| {
-        let lines = match kind {
+    (event, line_end, "[ -~]{0,30}").prop_map(|(event, end, text)| {
+        let lines = match event {
             Event::Token(index) => format!("id: {index}{end}data: {{{text}{end}"),
             Event::End => format!("data: [DONE]{end}"),
             Event::Unnumbered => format!("event: usage{end}data:{{{text}{end}"),
             Event::Comment => format!(": {text}{end}"),
         };
-        (lines + end, kind)
+        (lines + end, event)
     })
 }
 
-/// All events of some chunks, each with its bytes.
+/// Scans the chunks and returns all events, each with its bytes.
 fn scan<'a>(chunks: impl IntoIterator<Item = &'a [u8]>) -> Result<Vec<(Bytes, Event)>, EventError> {
     let mut scanner = EventScanner::default();
     let mut events = Vec::new();
@@ -49,35 +49,35 @@
 }
 
 proptest! {
-    #![proptest_config(config())]
+    #![proptest_config(proptest_config())]
 
-    /// Wherever the stream is cut, the same events are found with the same bytes.
+    /// The scanner finds the same events with the same bytes wherever the stream is split.
     #[test]
-    fn cuts_change_nothing(
-        events in prop::collection::vec(event(), 0..10),
-        cuts in prop::collection::vec(1_usize..40, 1..20),
-        rest in "id: [0-9]{0,5}",
+    fn events_do_not_depend_on_chunk_boundaries(
+        events in prop::collection::vec(any_event(), 0..10),
+        chunk_sizes in prop::collection::vec(1_usize..40, 1..20),
+        incomplete in "id: [0-9]{0,5}",
     ) {
         let stream: String = events.iter().map(|(text, _)| text.as_str()).collect();
-        let stream = (stream + &rest).into_bytes();
+        let stream = (stream + &incomplete).into_bytes();
         let mut chunks = Vec::new();
-        let mut left = stream.as_slice();
-        for cut in cuts.iter().cycle() {
-            if left.is_empty() {
+        let mut remaining = stream.as_slice();
+        for chunk_size in chunk_sizes.iter().cycle() {
+            if remaining.is_empty() {
                 break;
             }
-            let (chunk, more) = left.split_at(left.len().min(*cut));
+            let (chunk, tail) = remaining.split_at(remaining.len().min(*chunk_size));
             chunks.push(chunk);
-            left = more;
+            remaining = tail;
         }
         let expected: Vec<(Bytes, Event)> =
             events.into_iter().map(|(text, event)| (text.into(), event)).collect();
         prop_assert_eq!(scan(chunks), Ok(expected));
     }
 
-    /// No bytes bring it down, and none are lost or made up.
+    /// Arbitrary input does not panic, and the bytes of the events are a prefix of the input.
     #[test]
-    fn any_bytes_are_survived(
+    fn arbitrary_bytes_are_scanned_without_panic_or_corruption(
         chunks in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..50), 0..10),
     ) {
         let all = chunks.concat();
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn an_event_without_end_is_refused() {
+fn oversized_events_and_invalid_ids_are_rejected() {
     let chunk = vec![b'x'; 300_000];
     let chunks = std::iter::repeat_n(chunk.as_slice(), 5);
     assert_eq!(scan(chunks), Err(EventError::TooLong));
--- a/crates/gateway/tests/gateway/streams.rs
+++ b/crates/gateway/tests/gateway/streams.rs
@@ -1,4 +1,4 @@
-//! Completions: each caller gets its own answer, whole, whatever one engine does.
+//! Completions: each caller gets its own complete response despite faults of a single engine.
 
 use std::time::Duration;
 
@@ -8,18 +8,20 @@
 use serde_json::{Value, json};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-use crate::support::{ARTIFACT, Bench, Got, fetch, raw_back_end, settled, until};
+use crate::support::{
+    ARTIFACT, FetchedResponse, Harness, fetch, fetch_until_settled, raw_back_end, wait_until,
+};
 
 const TOKENS: u32 = 20;
 const PROMPT: &str = "why does the gearbox of T14 run hot";
 
-fn body(stream: bool) -> Value {
+fn completion_body(stream: bool) -> Value {
     json!({"model": "turbine", "prompt": PROMPT, "stream": stream, "max_tokens": TOKENS})
 }
 
-/// The text of a stream, if its tokens are in order, each once, and its end mark came.
-fn streamed_text(got: &Got) -> Option<String> {
-    let events = got.text.strip_suffix("data: [DONE]\n\n")?;
+/// The text of a stream, if its tokens are consecutive, without duplicates, and end with `[DONE]`.
+fn streamed_text(response: &FetchedResponse) -> Option<String> {
+    let events = response.text.strip_suffix("data: [DONE]\n\n")?;
     let mut text = String::new();
     for (index, event) in events.split_terminator("\n\n").enumerate() {
         let (id, data) = event.strip_prefix("id: ")?.split_once("\ndata: ")?;
@@ -32,13 +34,13 @@
     Some(text)
 }
 
-fn whole_text(got: &Got) -> Option<String> {
-    let answer: Value = serde_json::from_str(&got.text).ok()?;
-    Some(answer["choices"][0]["text"].as_str()?.to_owned())
+fn unary_text(response: &FetchedResponse) -> Option<String> {
+    let body: Value = serde_json::from_str(&response.text).ok()?;
+    Some(body["choices"][0]["text"].as_str()?.to_owned())
 }
 
-/// A fault of the first engine, and from which tokens the second one then goes on: for a stream, and
-/// for an answer in one piece, if the fault can be seen in one.
+/// A fault of the first engine, and the first tokens of the attempts on the second one: for a
+/// streaming response, and for a non-streaming one if the fault is observable there.
 type Case = (StreamFault, &'static [u32], Option<&'static [u32]>);
 
 const CASES: [Case; 9] = [
@@ -53,89 +55,95 @@
     (StreamFault::DelayFirstToken(30_000), &[0], None),
 ];
 
-async fn check_case(fault: StreamFault, stream: bool, goes_on: &[u32]) {
+async fn check_case(fault: StreamFault, stream: bool, resumed_at: &[u32]) {
     let case = format!("{fault:?}, stream {stream}");
-    let bench = Bench::start(|settings| {
+    let harness = Harness::start(|settings| {
         settings.stream_idle = Duration::from_millis(300);
     })
     .await;
-    bench.add_fault(0, fault, Strikes::next(1));
-    let got = fetch(bench.complete(&body(stream))).await;
-    assert_eq!(got.status, 200, "{case}: {}", got.text);
+    harness.add_fault(0, fault, Strikes::next(1));
+    let response = fetch(harness.completion_request(&completion_body(stream))).await;
+    assert_eq!(response.status, 200, "{case}: {}", response.text);
     let text = if stream {
-        streamed_text(&got)
+        streamed_text(&response)
     } else {
-        whole_text(&got)
+        unary_text(&response)
     };
     let expected = answer_text(ARTIFACT, PROMPT, TOKENS);
-    assert_eq!(text, Some(expected), "{case}: {}", got.text);
-    let requests = bench.engines[1].record().requests;
+    assert_eq!(text, Some(expected), "{case}: {}", response.text);
+    let requests = harness.engines[1].record().requests;
     let first_tokens: Vec<u32> = requests.iter().map(|request| request.first_token).collect();
-    assert_eq!(first_tokens, goes_on, "{case}");
+    assert_eq!(first_tokens, resumed_at, "{case}");
 }
 
 #[tokio::test]
-async fn an_answer_arrives_whole_whatever_one_engine_does() {
-    for (fault, streamed, whole) in CASES {
-        check_case(fault, true, streamed).await;
-        if let Some(goes_on) = whole {
-            check_case(fault, false, goes_on).await;
+async fn responses_are_complete_despite_faults_of_one_engine() {
+    for (fault, resumed_stream, resumed_unary) in CASES {
+        check_case(fault, true, resumed_stream).await;
+        if let Some(resumed_at) = resumed_unary {
+            check_case(fault, false, resumed_at).await;
         }
     }
 }
 
 #[tokio::test]
-async fn a_stream_that_cannot_go_on_ends_in_a_stated_error() {
-    let bench = Bench::start(|settings| {
+async fn a_stream_that_cannot_be_resumed_ends_with_an_error_event() {
+    let harness = Harness::start(|settings| {
         settings.stream_resume_wait = Duration::from_millis(100);
     })
     .await;
     for index in 0..2 {
-        bench.add_fault(index, StreamFault::BreakAfter(3), Strikes::always());
+        harness.add_fault(index, StreamFault::BreakAfter(3), Strikes::always());
     }
-    let got = fetch(bench.complete(&body(true))).await;
+    let response = fetch(harness.completion_request(&completion_body(true))).await;
     // Three attempts, three tokens each.
-    let tokens = got.text.matches("id: ").count();
-    assert_eq!((got.status, tokens), (200, 9), "{}", got.text);
-    assert!(!got.text.contains("[DONE]"), "{}", got.text);
-    assert!(got.text.contains("event: error\n"), "{}", got.text);
-    assert_eq!(got.code(), Some(3003), "{}", got.text);
-    assert_eq!(got.error()["not_run"], false);
+    let tokens = response.text.matches("id: ").count();
+    assert_eq!((response.status, tokens), (200, 9), "{}", response.text);
+    assert!(!response.text.contains("[DONE]"), "{}", response.text);
+    assert!(
+        response.text.contains("event: error\n"),
+        "{}",
+        response.text
+    );
+    assert_eq!(response.code(), Some(3003), "{}", response.text);
+    assert_eq!(response.error()["not_run"], false);
 }
 
 #[tokio::test]
-async fn an_engine_that_refuses_before_running_is_passed_over() {
-    let bench = Bench::start(|_| {}).await;
-    bench.engines[0].update_faults(|faults| faults.down = true);
-    let got = fetch(bench.complete(&body(true))).await;
-    assert!(streamed_text(&got).is_some(), "{}", got.text);
-    assert_eq!(bench.accepted(), [0, 1]);
+async fn a_request_refused_before_running_is_retried_on_another_engine() {
+    let harness = Harness::start(|_| {}).await;
+    harness.engines[0].update_faults(|faults| faults.down = true);
+    let response = fetch(harness.completion_request(&completion_body(true))).await;
+    assert!(streamed_text(&response).is_some(), "{}", response.text);
+    assert_eq!(harness.accepted_requests(), [0, 1]);
 }
 
 #[tokio::test]
-async fn a_caller_who_goes_frees_its_place_and_leaves_the_outcome_of_its_key_unknown() {
-    let bench = Bench::start(|_| {}).await;
-    bench.add_fault(0, StreamFault::DelayFirstToken(60_000), Strikes::always());
-    let request = bench.complete(&body(true)).header("idempotency-key", "k1");
+async fn a_disconnected_caller_frees_its_slot_and_leaves_the_outcome_of_its_key_unknown() {
+    let harness = Harness::start(|_| {}).await;
+    harness.add_fault(0, StreamFault::DelayFirstToken(60_000), Strikes::always());
+    let request = harness
+        .completion_request(&completion_body(true))
+        .header("idempotency-key", "k1");
     let request = request.header("x-flaxward-repeatable", "false");
     let caller = tokio::spawn(request.try_clone().unwrap().send());
-    until(|| bench.accepted()[0] == 1).await;
-    assert_eq!(bench.gateway.running(), 1);
+    wait_until(|| harness.accepted_requests()[0] == 1).await;
+    assert_eq!(harness.gateway.running(), 1);
     caller.abort();
-    until(|| bench.engines[0].record().requests[0].outcome != RequestOutcome::Running).await;
-    until(|| bench.gateway.running() == 0).await;
-    assert_eq!(settled(&request).await.code(), Some(4002));
-    assert_eq!(bench.accepted(), [1, 0]);
-    bench.gateway.stop().await;
+    wait_until(|| harness.engines[0].record().requests[0].outcome != RequestOutcome::Running).await;
+    wait_until(|| harness.gateway.running() == 0).await;
+    assert_eq!(fetch_until_settled(&request).await.code(), Some(4002));
+    assert_eq!(harness.accepted_requests(), [1, 0]);
+    harness.gateway.stop().await;
 }
 
 #[tokio::test]
-async fn an_engine_is_told_when_a_caller_goes() {
-    let bench = Bench::start(|_| {}).await;
+async fn a_disconnected_caller_cancels_the_attempt_on_the_engine() {
+    let harness = Harness::start(|_| {}).await;
     let (address, mut requests) = raw_back_end().await;
-    bench.set_replica(address);
+    harness.set_replica(address);
     for stream in [true, false] {
-        let caller = tokio::spawn(bench.complete(&body(stream)).send());
+        let caller = tokio::spawn(harness.completion_request(&completion_body(stream)).send());
         let (request, _connection) = requests.recv().await.unwrap();
         let attempt = request.split("x-flaxward-attempt: ").nth(1).unwrap();
         let attempt = &attempt[..32];
@@ -147,69 +155,70 @@
 }
 
 #[tokio::test]
-async fn an_answer_that_ends_before_what_the_caller_holds_is_not_whole() {
-    let bench = Bench::start(|_| {}).await;
+async fn a_resumed_stream_that_ends_before_the_events_already_sent_is_an_error() {
+    let harness = Harness::start(|_| {}).await;
     let (address, mut requests) = raw_back_end().await;
-    bench.set_replica(address);
-    let caller = tokio::spawn(fetch(bench.complete(&body(true))));
+    harness.set_replica(address);
+    let caller = tokio::spawn(fetch(harness.completion_request(&completion_body(true))));
     let first = "id: 0\ndata: a\n\nid: 1\ndata: b\n\n";
-    let short = "id: 0\ndata: a\n\ndata: [DONE]\n\n";
-    for events in [first, short, short] {
+    let shorter = "id: 0\ndata: a\n\ndata: [DONE]\n\n";
+    for events in [first, shorter, shorter] {
         let (mut request, mut connection) = requests.recv().await.unwrap();
         while request.starts_with("DELETE") {
             (request, connection) = requests.recv().await.unwrap();
         }
-        let answer = format!("HTTP/1.1 200 X\r\ncontent-type: text/event-stream\r\n\r\n{events}");
-        connection.write_all(answer.as_bytes()).await.unwrap();
+        let raw_response =
+            format!("HTTP/1.1 200 X\r\ncontent-type: text/event-stream\r\n\r\n{events}");
+        connection.write_all(raw_response.as_bytes()).await.unwrap();
     }
-    let got = caller.await.unwrap();
+    let response = caller.await.unwrap();
     assert!(
-        got.text.starts_with(&format!("{first}event: error\n")),
+        response.text.starts_with(&format!("{first}event: error\n")),
         "{}",
-        got.text
+        response.text
     );
-    assert_eq!(got.code(), Some(3006), "{}", got.text);
+    assert_eq!(response.code(), Some(3006), "{}", response.text);
 }
 
 #[tokio::test]
-async fn a_stream_goes_on_elsewhere_after_its_deadline_for_the_first_token() {
-    let bench = Bench::start_paced(60_000, |_| {}).await;
-    bench.add_fault(0, StreamFault::BreakAfter(18), Strikes::next(1));
-    let request = bench.complete(&body(true));
-    let got = fetch(request.header("x-flaxward-deadline", "1s")).await;
-    assert!(streamed_text(&got).is_some(), "{}", got.text);
-    assert_eq!(bench.accepted(), [1, 1]);
+async fn a_stream_is_resumed_elsewhere_after_its_first_token_deadline() {
+    let harness = Harness::start_with_decode_time(60_000, |_| {}).await;
+    harness.add_fault(0, StreamFault::BreakAfter(18), Strikes::next(1));
+    let request = harness.completion_request(&completion_body(true));
+    let response = fetch(request.header("x-flaxward-deadline", "1s")).await;
+    assert!(streamed_text(&response).is_some(), "{}", response.text);
+    assert_eq!(harness.accepted_requests(), [1, 1]);
 }
 
 #[tokio::test]
-async fn headers_between_gateway_and_engine_are_not_for_callers() {
-    let bench = Bench::start(|_| {}).await;
-    let request = bench.complete(&body(true));
+async fn internal_headers_sent_by_callers_are_ignored() {
+    let harness = Harness::start(|_| {}).await;
+    let request = harness.completion_request(&completion_body(true));
     let request = request.header("x-flaxward-attempt", "mine");
-    let got = fetch(request.header("x-flaxward-resume-from", "5")).await;
-    assert!(streamed_text(&got).is_some(), "{}", got.text);
+    let response = fetch(request.header("x-flaxward-resume-from", "5")).await;
+    assert!(streamed_text(&response).is_some(), "{}", response.text);
 }
 
 #[tokio::test]
-async fn a_planned_stop_lets_requests_finish_and_refuses_new_ones() {
-    let bench = Bench::start(|_| {}).await;
-    bench.add_fault(0, StreamFault::DelayFirstToken(200), Strikes::always());
-    let running = tokio::spawn(fetch(bench.complete(&body(true))));
-    until(|| bench.accepted()[0] == 1).await;
-    let gateway = bench.gateway.clone();
+async fn a_graceful_shutdown_completes_running_requests_and_refuses_new_ones() {
+    let harness = Harness::start(|_| {}).await;
+    harness.add_fault(0, StreamFault::DelayFirstToken(200), Strikes::always());
+    let in_progress = tokio::spawn(fetch(harness.completion_request(&completion_body(true))));
+    wait_until(|| harness.accepted_requests()[0] == 1).await;
+    let gateway = harness.gateway.clone();
     let stopping = tokio::spawn(async move { gateway.stop().await });
-    let mut refused = fetch(bench.complete(&body(true))).await;
+    let mut refused = fetch(harness.completion_request(&completion_body(true))).await;
     while refused.status == 200 {
-        refused = fetch(bench.complete(&body(true))).await;
+        refused = fetch(harness.completion_request(&completion_body(true))).await;
     }
     assert_eq!(refused.code(), Some(2008), "{}", refused.text);
     assert!(refused.retry_after().is_some());
-    assert!(streamed_text(&running.await.unwrap()).is_some());
+    assert!(streamed_text(&in_progress.await.unwrap()).is_some());
     stopping.await.unwrap();
 }
 
-/// An answer of an engine with one token, without the end of its body.
-fn answer_without_end(events: &str) -> String {
+/// A chunked engine response with one token, without the terminating chunk.
+fn unterminated_response(events: &str) -> String {
     format!(
         "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n\
          transfer-encoding: chunked\r\n\r\n{:x}\r\n{events}\r\n",
@@ -218,29 +227,29 @@
 }
 
 #[tokio::test]
-async fn a_connection_is_used_again_although_its_body_ends_after_the_end_mark() {
+async fn a_connection_is_reused_when_its_body_ends_after_the_done_event() {
     const EVENTS: &str = "id: 0\ndata: {}\n\ndata: [DONE]\n\n";
-    const BODY_END: &[u8] = b"0\r\n\r\n";
-    let bench = Bench::start(|_| {}).await;
+    const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
+    let harness = Harness::start(|_| {}).await;
     let (address, mut requests) = raw_back_end().await;
-    bench.set_replica(address);
-    let caller = tokio::spawn(fetch(bench.complete(&body(true))));
+    harness.set_replica(address);
+    let caller = tokio::spawn(fetch(harness.completion_request(&completion_body(true))));
     let (_, mut first) = requests.recv().await.unwrap();
-    let answer = answer_without_end(EVENTS);
-    first.write_all(answer.as_bytes()).await.unwrap();
+    let raw_response = unterminated_response(EVENTS);
+    first.write_all(raw_response.as_bytes()).await.unwrap();
     assert_eq!(caller.await.unwrap().text, EVENTS);
-    first.write_all(BODY_END).await.unwrap();
+    first.write_all(LAST_CHUNK).await.unwrap();
     let mut bytes = [0; 16_384];
     loop {
-        let caller = tokio::spawn(fetch(bench.complete(&body(true))));
+        let caller = tokio::spawn(fetch(harness.completion_request(&completion_body(true))));
         tokio::select! {
             length = first.read(&mut bytes) => {
                 assert!(length.unwrap() > 0, "the connection was closed");
                 return;
             }
-            // Sent before the end of the body was seen: answered, and the next one counts.
+            // The gateway opened a new connection before it read the last chunk: respond and retry.
             Some((_, mut other)) = requests.recv() => {
-                other.write_all(answer.as_bytes()).await.unwrap();
+                other.write_all(raw_response.as_bytes()).await.unwrap();
                 caller.await.unwrap();
             }
         }
--- a/crates/gateway/tests/gateway/support.rs
+++ b/crates/gateway/tests/gateway/support.rs
@@ -1,4 +1,4 @@
-//! A gateway on a local port, with stand-ins as its back ends.
+//! Test harness: a gateway on a local port with emulated back ends.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -33,14 +33,14 @@
 
 pub const ARTIFACT: &str = "turbine@v1";
 
-/// What the coordinator answers to each demand.
+/// The coordinator's reply to each demand.
 #[derive(Clone)]
 pub struct Routing {
     pub ready: Vec<Replica>,
     pub outlook: Outlook,
 }
 
-pub struct Bench {
+pub struct Harness {
     pub gateway: Arc<Gateway>,
     pub address: SocketAddr,
     pub engines: Vec<Engine>,
@@ -51,16 +51,16 @@
     routing: Arc<Mutex<Routing>>,
 }
 
-/// An answer as the caller sees it.
+/// A response as received by the caller.
 #[derive(Debug)]
-pub struct Got {
+pub struct FetchedResponse {
     pub status: u16,
     pub headers: reqwest::header::HeaderMap,
     pub text: String,
 }
 
-impl Got {
-    /// The error in the body, or in the last event.
+impl FetchedResponse {
+    /// The error object in the body, or in the last event of a stream.
     pub fn error(&self) -> Value {
         let last = self.text.rsplit("data: ").next().unwrap_or_default();
         let value: Value = serde_json::from_str(last.trim()).unwrap_or_default();
@@ -76,12 +76,12 @@
     }
 }
 
-pub async fn fetch(request: RequestBuilder) -> Got {
-    let response = request.send().await.expect("an answer");
-    Got {
+pub async fn fetch(request: RequestBuilder) -> FetchedResponse {
+    let response = request.send().await.expect("a response");
+    FetchedResponse {
         status: response.status().as_u16(),
         headers: response.headers().clone(),
-        text: response.text().await.expect("a whole body"),
+        text: response.text().await.expect("a complete body"),
     }
 }
 
@@ -89,7 +89,7 @@
     ZoneName::literal("scl-a")
 }
 
-/// The models `turbine` and `full` (whose queue has no place) and the service `despacho`.
+/// The models `turbine` and `full` (with a queue limit of 0) and the service `despacho`.
 pub fn configuration() -> Configuration {
     let version = VersionName::literal("v1");
     let mut items = Vec::new();
@@ -119,15 +119,18 @@
     Configuration::new(Revision(1), items)
 }
 
-impl Bench {
-    /// Two engines with the model loaded, of which the first is preferred, and two machines of the
-    /// service.
-    pub async fn start(change: impl FnOnce(&mut GatewaySettings)) -> Self {
-        Self::start_paced(0, change).await
+impl Harness {
+    /// Starts two engines with the model loaded, the first of which is preferred, and two machines
+    /// of the service.
+    pub async fn start(configure: impl FnOnce(&mut GatewaySettings)) -> Self {
+        Self::start_with_decode_time(0, configure).await
     }
 
-    /// The same; each token takes the engines so long.
-    pub async fn start_paced(decode_us: u64, change: impl FnOnce(&mut GatewaySettings)) -> Self {
+    /// Like [`Self::start`], with the given decode time per token on both engines.
+    pub async fn start_with_decode_time(
+        decode_us: u64,
+        configure: impl FnOnce(&mut GatewaySettings),
+    ) -> Self {
         let mut engines = Vec::new();
         let mut services = Vec::new();
         for index in 0..2 {
@@ -161,10 +164,10 @@
         let store = ObjectsHttp::new(&objects.url(), "scl-a/d1", TimeLimits::default()).unwrap();
         let mut settings = GatewaySettings::new(vec![zone()]);
         settings.admission.avoid_period = Duration::from_millis(20);
-        change(&mut settings);
+        configure(&mut settings);
         let limits = settings.connection_limits();
         let (sender, receiver) = watch::channel(Arc::new(configuration()));
-        let (demands, demanded) = mpsc::unbounded_channel();
+        let (demands, demand_receiver) = mpsc::unbounded_channel();
         let gateway = Gateway::new(
             settings,
             receiver,
@@ -178,21 +181,21 @@
             outlook: Outlook::Ready,
         };
         let routing = Arc::new(Mutex::new(routing));
-        tokio::spawn(coordinate(
+        tokio::spawn(run_coordinator(
             Arc::clone(&gateway),
-            demanded,
+            demand_receiver,
             Arc::clone(&routing),
         ));
-        let ticking = Arc::clone(&gateway);
-        tokio::spawn(async move { ticking.run().await });
+        let background = Arc::clone(&gateway);
+        tokio::spawn(async move { background.run().await });
         gateway.on_heads(BTreeSet::from([zone()]));
         let acceptor = listen(ANY_PORT).await.expect("a free port");
         let address = acceptor.local_addr().unwrap();
         let server = Server::new(acceptor).fuse_config(limits);
         tokio::spawn(server.serve(gateway.router()));
-        // Nothing takes longer but by mistake.
+        // No request in these tests takes this long unless it hangs.
         let client = reqwest::Client::builder().timeout(Duration::from_secs(10));
-        let bench = Self {
+        let harness = Self {
             gateway,
             address,
             engines,
@@ -202,23 +205,23 @@
             configuration: sender,
             routing,
         };
-        bench.set_machines(&[0, 1]);
-        bench
+        harness.set_machines(&[0, 1]);
+        harness
     }
 
-    /// Changes what the coordinator answers to demands from now on.
-    pub fn answer(&self, ready: &[usize], outlook: Outlook) {
+    /// Sets the coordinator's reply to all further demands.
+    pub fn set_routing(&self, ready: &[usize], outlook: Outlook) {
         let replica = |&index: &usize| replica((&self.engines[index], 0));
         let ready = ready.iter().map(replica).collect();
         *self.routing.lock().unwrap() = Routing { ready, outlook };
     }
 
-    /// Makes something else than the bench's engines the only replica.
+    /// Makes the back end at this address the only replica.
     pub fn set_replica(&self, address: SocketAddr) {
         self.set_replicas(&[("e9".to_owned(), address)]);
     }
 
-    /// Makes these the only replicas.
+    /// Replaces all replicas by these.
     pub fn set_replicas(&self, replicas: &[(String, SocketAddr)]) {
         let replicas = replicas.iter().map(|(name, address)| Replica {
             runner: RunnerName::literal(name),
@@ -228,7 +231,7 @@
         self.routing.lock().unwrap().ready = replicas.collect();
     }
 
-    /// Lets an engine commit a fault.
+    /// Injects a stream fault into an engine.
     pub fn add_fault(&self, index: usize, fault: StreamFault, strikes: Strikes) {
         let artifact = None;
         self.engines[index].update_faults(|faults| {
@@ -240,7 +243,7 @@
         });
     }
 
-    /// Makes these the machines of the service.
+    /// Replaces the machines of the service by those with these indices.
     pub fn set_machines(&self, indices: &[usize]) {
         let machines = indices.iter().map(|&index| {
             let service = &self.services[index];
@@ -254,12 +257,12 @@
             .request(method, format!("http://{}{path}", self.address))
     }
 
-    pub fn complete(&self, body: &Value) -> RequestBuilder {
+    pub fn completion_request(&self, body: &Value) -> RequestBuilder {
         self.request(Method::POST, "/v1/completions")
             .body(body.to_string())
     }
 
-    /// How often a request ran at the machines of the service.
+    /// Number of times that the machines of the service ran the request with this key.
     pub fn times_run(&self, key: &str) -> usize {
         let services = self.services.iter();
         services
@@ -267,8 +270,8 @@
             .sum()
     }
 
-    /// Requests that the engines have accepted.
-    pub fn accepted(&self) -> Vec<u64> {
+    /// Number of requests accepted by each engine.
+    pub fn accepted_requests(&self) -> Vec<u64> {
         let engines = self.engines.iter();
         engines
             .map(|engine| engine.record().requests_accepted)
@@ -276,7 +279,7 @@
     }
 }
 
-/// A machine of the service, as the machine list shows it.
+/// A machine-list entry for a machine of the service.
 pub fn machine(name: &str, address: SocketAddr) -> Machine {
     Machine {
         name: RunnerName::literal(name),
@@ -287,7 +290,7 @@
     }
 }
 
-/// A back end that tells the requests it gets, as text, and answers none before it is told to.
+/// A back end that passes each request to the test as text, with the connection to respond on.
 pub async fn raw_back_end() -> (SocketAddr, mpsc::UnboundedReceiver<(String, TcpStream)>) {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -297,7 +300,7 @@
             let mut bytes = vec![0; 16_384];
             let length = connection.read(&mut bytes).await.unwrap();
             if length == 0 {
-                // The gateway looks whether anything listens here, after a request has broken off.
+                // After a request is aborted, the gateway probes whether this port still listens.
                 continue;
             }
             let text = String::from_utf8_lossy(&bytes[..length]).into_owned();
@@ -307,19 +310,19 @@
     (address, requests)
 }
 
-/// Waits until something holds; the time limit is that of whoever runs the tests.
-pub async fn until(mut holds: impl FnMut() -> bool) {
-    while !holds() {
+/// Polls until the condition is true; has no timeout of its own and relies on the test runner's.
+pub async fn wait_until(mut condition: impl FnMut() -> bool) {
+    while !condition() {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
 
-/// Sends a request again while its key is in progress.
-pub async fn settled(request: &RequestBuilder) -> Got {
+/// Repeats a request until its idempotency key is no longer in progress.
+pub async fn fetch_until_settled(request: &RequestBuilder) -> FetchedResponse {
     loop {
-        let got = fetch(request.try_clone().unwrap()).await;
-        if got.code() != Some(4001) {
-            return got;
+        let response = fetch(request.try_clone().unwrap()).await;
+        if response.code() != Some(4001) {
+            return response;
         }
     }
 }
@@ -332,7 +335,7 @@
     }
 }
 
-async fn coordinate(
+async fn run_coordinator(
     gateway: Arc<Gateway>,
     mut demands: mpsc::UnboundedReceiver<(ZoneName, Vec<Demand>)>,
     routing: Arc<Mutex<Routing>>,
