--- a/crates/flaxward/src/daemon/core.rs
+++ b/crates/flaxward/src/daemon/core.rs
@@ -109,8 +109,8 @@
             NodeAction::Send(to, envelope) => parts.peers.send(to, &envelope),
             NodeAction::Platform(operation) => self.operate(operation),
             NodeAction::Routes(answers) => parts.gateway.on_routes(answers),
-            NodeAction::RoutesHeld(held) => parts.gateway.on_routes_held(held),
-            NodeAction::Heads(zones) => parts.gateway.on_heads(zones),
+            NodeAction::RoutesHeld(held) => parts.gateway.on_routes_confirmed(held),
+            NodeAction::Heads(zones) => parts.gateway.on_known_coordinators(zones),
             NodeAction::Leaving(leaving) => {
                 counters::leaving(leaving.len());
                 state_change("leaving-changed", &[("runners", &leaving.len())]);
--- a/crates/gateway/benches/relay.rs
+++ b/crates/gateway/benches/relay.rs
@@ -109,7 +109,7 @@
         Arc::new(store.expect("a store")),
         DaemonName::literal("d1"),
     );
-    gateway.on_heads(BTreeSet::from([zone.clone()]));
+    gateway.on_known_coordinators(BTreeSet::from([zone.clone()]));
     let router = gateway.router();
     let ticking = Arc::clone(&gateway);
     tokio::spawn(async move { ticking.run().await });
--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to callers: relayed ones and errors.
+//! Answers to callers: relayed answers and errors.
 
 use bytes::Bytes;
 use flaxward_types::{Refusal, ResultCode};
@@ -29,22 +29,22 @@
     request_id: &'a str,
 }
 
-/// A whole answer, or its head and the way to its rest.
+/// A complete answer, or its start and the stream of the rest.
 pub(crate) struct Answer {
     /// HTTP status.
     pub status: StatusCode,
     /// Headers for the caller.
     pub headers: HeaderMap,
-    /// What has come of the body.
+    /// The buffered part of the body.
     pub body: Vec<Bytes>,
-    /// The rest of the body, if it is too long to be held.
+    /// The rest of the body, if it exceeds the buffer limits.
     pub rest: Option<Remainder>,
 }
 
 impl Answer {
-    /// Writes it as the answer to the caller.
+    /// Writes the answer to the response.
     pub fn write(mut self, response: &mut Response) {
-        counters::relayed(self.status.as_u16());
+        counters::count_answer(self.status.as_u16());
         response.status_code(self.status);
         response.headers_mut().extend(self.headers);
         let body = match self.rest {
@@ -56,7 +56,7 @@
     }
 }
 
-/// JSON of an error, as in the body of an answer or in the data of an event.
+/// JSON of an error, used as the body of an answer and as the data of an event.
 pub(crate) fn error_json(refusal: &Refusal, request_id: &str) -> String {
     let body = ErrorBody {
         error: ErrorContent {
@@ -72,7 +72,7 @@
 
 /// Writes an error answer.
 pub(crate) fn write_refusal(response: &mut Response, refusal: &Refusal, request_id: &str) {
-    counters::refused(refusal.code);
+    counters::count_refusal(refusal.code);
     let status = StatusCode::from_u16(refusal.code.http_status());
     response.status_code(status.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR));
     response.headers_mut().insert(CONTENT_TYPE, JSON);
@@ -87,14 +87,14 @@
     response.body(ResBody::Once(error_json(refusal, request_id).into()));
 }
 
-/// Writes the request id that the caller gave or got.
+/// Writes the request id, which the caller sent or the gateway generated.
 pub(crate) fn write_request_id(response: &mut Response, request_id: &str) {
     if let Ok(value) = HeaderValue::from_str(request_id) {
         response.headers_mut().insert(REQUEST_ID_HEADER, value);
     }
 }
 
-/// A refusal for a request that this daemon cannot read.
-pub(crate) fn bad(code: ResultCode, detail: impl Into<String>) -> Refusal {
+/// A refusal of a malformed request.
+pub(crate) fn bad_request(code: ResultCode, detail: impl Into<String>) -> Refusal {
     Refusal::new(code).with_detail(detail)
 }
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -10,29 +10,29 @@
 use reqwest::{Request, Url};
 use tokio::time::Instant;
 
-use crate::bytes_budget::{BytesBudget, HeldBytes};
+use crate::bytes_budget::{BytesBudget, ReservedBytes};
 use crate::call::{Call, CallKind};
 use crate::head::{ATTEMPT_HEADER, NOT_RUN_HEADER, RESUME_HEADER};
 use crate::scheduler::BackEnd;
 
-/// Time allowed for telling an engine that an attempt is given up.
+/// Timeout of the request that cancels an attempt at an engine.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How much of a body is held.
-pub(crate) struct Hold<'a> {
-    /// Of this body, in bytes.
+/// Limits on buffering the body of an answer.
+pub(crate) struct BufferLimits<'a> {
+    /// Maximum bytes buffered for this body.
     pub limit: usize,
-    /// Of all bodies together.
+    /// Budget shared by all buffered bodies.
     pub budget: &'a BytesBudget,
-    /// What the request holds so far.
-    pub held: &'a mut HeldBytes,
+    /// Bytes that the request has reserved so far.
+    pub reserved: &'a mut ReservedBytes,
 }
 
-/// The body of an answer, as far as it is held.
+/// The body of an answer, as far as it is buffered.
 pub(crate) struct Collected {
-    /// What has come.
+    /// The chunks received so far.
     pub chunks: Vec<Bytes>,
-    /// The rest, if it is too long to be held.
+    /// The rest, if the body exceeds the buffer limits.
     pub rest: Option<reqwest::Response>,
 }
 
@@ -60,7 +60,7 @@
     Ok(response)
 }
 
-/// The request of one attempt. `None` if the back end has no address that can be used.
+/// Builds the request of one attempt. `None` if the address of the back end is invalid.
 fn request_for(
     call: &Call,
     back_end: &BackEnd,
@@ -86,16 +86,16 @@
         .is_some_and(|value| value.as_bytes() == b"true")
 }
 
-/// Reads the body of an answer: whole, or up to the length that is held.
+/// Reads the body of an answer to its end, or until the buffer limits are exceeded.
 pub(crate) async fn collect(
     mut response: reqwest::Response,
-    hold: Hold<'_>,
+    limits: BufferLimits<'_>,
     until: Instant,
 ) -> Result<Collected, AttemptEnd> {
-    let length_is_stated = states_length(&response);
+    let has_stated_length = states_length(&response);
     let mut chunks = Vec::new();
     let mut length = 0;
-    let mut is_held;
+    let mut is_within_budget;
     loop {
         let Ok(chunk) = tokio::time::timeout_at(until, response.chunk()).await else {
             return Err(AttemptEnd::TimedOut);
@@ -103,13 +103,13 @@
         match chunk {
             Ok(Some(chunk)) => {
                 length += chunk.len();
-                is_held = hold.budget.hold(hold.held, chunk.len());
+                is_within_budget = limits.budget.reserve(limits.reserved, chunk.len());
                 chunks.push(chunk);
             }
-            Ok(None) => return finish(chunks, finish_body(false, length_is_stated)),
-            Err(_) => return finish(chunks, finish_body(true, length_is_stated)),
+            Ok(None) => return finish(chunks, finish_body(false, has_stated_length)),
+            Err(_) => return finish(chunks, finish_body(true, has_stated_length)),
         }
-        if length > hold.limit || !is_held {
+        if length > limits.limit || !is_within_budget {
             let rest = Some(response);
             return Ok(Collected { chunks, rest });
         }
@@ -123,7 +123,7 @@
     }
 }
 
-/// Whether the end of the body can be told from a broken connection.
+/// Whether the framing of the body distinguishes its end from a broken connection.
 fn states_length(response: &reqwest::Response) -> bool {
     let status = response.status().as_u16();
     let has_no_body = matches!(status, 204 | 304);
@@ -131,15 +131,15 @@
     has_no_body || headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING)
 }
 
-/// Tells an engine that an attempt is given up, unless the attempt has ended before.
+/// Cancels an attempt at its engine when dropped, unless the attempt has ended before.
 pub(crate) struct CancelGuard {
     http: reqwest::Client,
-    /// The attempt and the engine's address, until the attempt has ended.
+    /// The attempt and the address of its engine, while the attempt runs.
     running: Option<(AttemptId, String)>,
 }
 
 impl CancelGuard {
-    /// A guard for an attempt that is about to be sent.
+    /// Creates a guard for an attempt that is about to be sent.
     pub fn new(
         http: &reqwest::Client,
         call: &Call,
@@ -156,7 +156,7 @@
         }
     }
 
-    /// The attempt has ended by itself.
+    /// Disarms the guard because the attempt has ended at the engine.
     pub fn disarm(&mut self) {
         self.running = None;
     }
@@ -173,7 +173,7 @@
         let url = format!("http://{address}/engine/streams/{attempt}");
         let request = self.http.delete(url).timeout(CANCEL_TIMEOUT);
         runtime.spawn(async move {
-            // An engine that cannot be told notices the closed connection.
+            // If this request fails, the engine still sees the closed connection.
             let _ = request.send().await;
         });
     }
--- a/crates/gateway/src/body.rs
+++ b/crates/gateway/src/body.rs
@@ -1,4 +1,4 @@
-//! Reading a caller's body, within a length and a time.
+//! Reads the body of a request within the size limit and the timeout.
 
 use bytes::{Bytes, BytesMut};
 use flaxward_types::{Refusal, ResultCode};
@@ -6,15 +6,15 @@
 use salvo::http::ReqBody;
 use salvo::prelude::Request;
 
-use crate::answer::bad;
-use crate::bytes_budget::HeldBytes;
+use crate::answer::bad_request;
+use crate::bytes_budget::ReservedBytes;
 use crate::gateway::Gateway;
 
-/// Takes the whole body of a request.
+/// Reads the whole body of a request.
 pub(crate) async fn read_body(
     request: &mut Request,
     gateway: &Gateway,
-    held: &mut HeldBytes,
+    reserved: &mut ReservedBytes,
 ) -> Result<Bytes, Refusal> {
     let settings = &gateway.settings;
     let limit = settings.body_limit;
@@ -22,7 +22,9 @@
         return Err(Refusal::new(ResultCode::BodyTooLong));
     }
     let body = request.take_body();
-    let reading = read(body, limit, |length| gateway.bytes.hold(held, length));
+    let reading = read(body, limit, |length| {
+        gateway.byte_budget.reserve(reserved, length)
+    });
     tokio::time::timeout(settings.body_timeout, reading)
         .await
         .unwrap_or_else(|_| Err(Refusal::new(ResultCode::SlowSender)))
@@ -33,37 +35,37 @@
     value.to_str().ok()?.parse().ok()
 }
 
-/// Reads to the end. Bytes are held as they come, so that a caller that states a great length and
-/// sends nothing takes nothing from others.
+/// Reads to the end. Bytes are reserved as they arrive, so that a caller that states a large length
+/// and sends nothing uses none of the shared budget.
 async fn read(
     mut body: ReqBody,
     limit: usize,
-    mut hold: impl FnMut(usize) -> bool,
+    mut reserve: impl FnMut(usize) -> bool,
 ) -> Result<Bytes, Refusal> {
     let mut first = Bytes::new();
-    let mut more = BytesMut::new();
+    let mut rest = BytesMut::new();
     while let Some(frame) = body.next().await {
-        let frame = frame.map_err(|_| bad(ResultCode::BadBody, "the body broke off"))?;
+        let frame = frame.map_err(|_| bad_request(ResultCode::BadBody, "the body broke off"))?;
         let Ok(data) = frame.into_data() else {
             continue;
         };
-        if first.len() + more.len() + data.len() > limit {
+        if first.len() + rest.len() + data.len() > limit {
             return Err(Refusal::new(ResultCode::BodyTooLong));
         }
-        if !hold(data.len()) {
+        if !reserve(data.len()) {
             return Err(Refusal::new(ResultCode::Overloaded));
         }
         if first.is_empty() {
             first = data;
         } else {
-            more.extend_from_slice(&data);
+            rest.extend_from_slice(&data);
         }
     }
-    if more.is_empty() {
+    if rest.is_empty() {
         return Ok(first);
     }
-    let mut whole = BytesMut::with_capacity(first.len() + more.len());
-    whole.extend_from_slice(&first);
-    whole.extend_from_slice(&more);
-    Ok(whole.freeze())
+    let mut joined = BytesMut::with_capacity(first.len() + rest.len());
+    joined.extend_from_slice(&first);
+    joined.extend_from_slice(&rest);
+    Ok(joined.freeze())
 }
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -1,4 +1,4 @@
-//! One request as it goes to back ends.
+//! A request in the form sent to back ends.
 
 use std::sync::OnceLock;
 
@@ -9,7 +9,7 @@
 use reqwest::Method;
 use reqwest::header::HeaderMap;
 
-/// What kind of back end a request goes to.
+/// The kind of back end that serves a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallKind {
     /// A model engine, whose attempts can be cancelled.
@@ -18,10 +18,10 @@
     Service,
 }
 
-/// One request as it goes to back ends.
+/// A request in the form sent to back ends.
 #[derive(Clone, Debug)]
 pub(crate) struct Call {
-    /// What kind of back end it goes to.
+    /// The kind of back end.
     pub kind: CallKind,
     /// The service, or the artifact in its text form.
     pub target: String,
@@ -29,27 +29,26 @@
     pub method: Method,
     /// Path and query, with the leading slash.
     pub path_and_query: String,
-    /// Headers that are passed on.
+    /// Headers that are forwarded.
     pub headers: HeaderMap,
-    /// Body.
     pub body: Bytes,
-    /// Names the request in logs.
+    /// Identifies the request in logs.
     pub request_id: String,
-    /// Rank.
+    /// Priority from 0 to 9; higher goes first.
     pub priority: u8,
-    /// When the answer, or the first token of a stream, must have come.
+    /// When the answer, or the first token of a stream, is due.
     pub deadline: Timestamp,
-    /// The first attempt, which a claim names.
+    /// The id of the first attempt, which is recorded in the claim.
     pub first_attempt: AttemptId,
-    /// What is known of it before it is sent.
+    /// The retry policy.
     pub policy: RequestPolicy,
-    /// What stays the same when the caller tries again, once it was asked for.
+    /// The fingerprint, computed on first use.
     pub fingerprint: OnceLock<RequestFingerprint>,
 }
 
 impl Call {
-    /// What stays the same when the caller tries again. The service or artifact stands in place of the host, which
-    /// decides nothing here.
+    /// The fingerprint, which is the same for every retry by the caller. The service or artifact is
+    /// used in place of the host, which has no effect here.
     pub fn fingerprint(&self) -> RequestFingerprint {
         *self.fingerprint.get_or_init(|| {
             RequestFingerprint::of(&RequestContent {
@@ -63,7 +62,7 @@
     }
 }
 
-/// A new attempt id.
+/// Generates an attempt id.
 pub(crate) fn new_attempt() -> AttemptId {
     AttemptId(rand::random())
 }
--- a/crates/gateway/src/claims.rs
+++ b/crates/gateway/src/claims.rs
@@ -1,5 +1,5 @@
-//! Drives [`ClaimMachine`]: one task per claim, which outlives the caller so that the outcome of
-//! its request is recorded in any case.
+//! Runs [`ClaimMachine`] in one task per claim. The task outlives the connection of the caller, so
+//! that the outcome of the request is always recorded.
 
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -20,17 +20,17 @@
 /// The claims of one daemon.
 pub(crate) struct Claims {
     store: Arc<dyn ObjectApi>,
-    me: DaemonName,
+    daemon: DaemonName,
     settings: ClaimSettings,
     tasks: TaskTracker,
     in_progress: Mutex<BTreeSet<AttemptId>>,
 }
 
-/// What the caller of a claimed request gets.
+/// The reply to a request that claims a key.
 pub(crate) enum ClaimReply {
     /// The request may be sent.
     Proceed(ClaimTicket),
-    /// The recorded answer.
+    /// The answer recorded under the key.
     Replay {
         /// HTTP status.
         status: u16,
@@ -43,7 +43,7 @@
     Refuse(Refusal),
 }
 
-/// The right to send a claimed request. If it is dropped, the outcome is unknown.
+/// Permission to send a claimed request. If it is dropped, the outcome is recorded as unknown.
 pub(crate) struct ClaimTicket {
     end: oneshot::Sender<RequestEnd>,
 }
@@ -51,59 +51,59 @@
 impl ClaimTicket {
     /// Records how the request ended.
     pub fn end(self, end: RequestEnd) {
-        // The task that listens ends only after the outcome has come.
+        // The receiving task ends only after it has received the outcome.
         let _ = self.end.send(end);
     }
 }
 
 impl Claims {
-    /// The claims of a daemon; `tasks` are waited for when it stops.
+    /// Creates the claims of a daemon. A stop waits for the tasks in `tasks`.
     pub fn new(
         store: Arc<dyn ObjectApi>,
-        me: DaemonName,
+        daemon: DaemonName,
         settings: ClaimSettings,
         tasks: TaskTracker,
     ) -> Self {
         Self {
             store,
-            me,
+            daemon,
             settings,
             tasks,
             in_progress: Mutex::new(BTreeSet::new()),
         }
     }
 
-    /// Claims a key for a request that may be sent for so long; the caller waits for its answer for
-    /// so long.
+    /// Claims a key for a request whose attempts may be sent during `send_window` and whose caller
+    /// waits for `caller_timeout`.
     pub async fn take(
         self: &Arc<Self>,
         name: String,
         digest: String,
         attempt: AttemptId,
-        may_be_sent_for: Duration,
-        caller_waits: Duration,
+        send_window: Duration,
+        caller_timeout: Duration,
     ) -> ClaimReply {
         let request = ClaimRequest {
             digest,
             attempt,
-            daemon: self.me.clone(),
-            deadline_unix: unix_seconds() + may_be_sent_for.as_secs() + 1,
+            daemon: self.daemon.clone(),
+            deadline_unix: unix_seconds() + send_window.as_secs() + 1,
         };
         let (reply, replied) = oneshot::channel();
-        let driver = Driver {
+        let driver = ClaimDriver {
             claims: Arc::clone(self),
             name,
             attempt,
             reply: Some(reply),
         };
-        self.note(attempt);
-        self.tasks.spawn(driver.run(request, caller_waits));
+        self.mark_in_progress(attempt);
+        self.tasks.spawn(driver.run(request, caller_timeout));
         replied
             .await
             .unwrap_or_else(|_| ClaimReply::Refuse(Refusal::new(ResultCode::ClaimNotRecorded)))
     }
 
-    fn note(&self, attempt: AttemptId) {
+    fn mark_in_progress(&self, attempt: AttemptId) {
         let mut in_progress = self
             .in_progress
             .lock()
@@ -111,7 +111,7 @@
         in_progress.insert(attempt);
     }
 
-    fn forget(&self, attempt: AttemptId) {
+    fn clear_in_progress(&self, attempt: AttemptId) {
         let mut in_progress = self
             .in_progress
             .lock()
@@ -145,10 +145,10 @@
         };
         result
             .map(|object| object.version)
-            .map_err(|error| self.fault(error))
+            .map_err(|error| self.claim_fault(error))
     }
 
-    fn fault(&self, error: StoreError) -> ClaimFault {
+    fn claim_fault(&self, error: StoreError) -> ClaimFault {
         match error {
             StoreError::Exists(object) | StoreError::Conflict(object) => self.present(*object),
             StoreError::NotFound | StoreError::Compacted => ClaimFault::Missing,
@@ -161,7 +161,7 @@
         let Ok(claim) = serde_json::from_value::<Claim>(object.body) else {
             return ClaimFault::Unreadable;
         };
-        let holder_gone = claim.daemon == self.me && !self.is_in_progress(claim.attempt);
+        let holder_gone = claim.daemon == self.daemon && !self.is_in_progress(claim.attempt);
         ClaimFault::Present(Box::new(StoredClaim {
             revision: object.version,
             claim,
@@ -170,38 +170,38 @@
     }
 }
 
-/// A claim that cannot be encoded is certainly not recorded.
+/// A claim that cannot be encoded is definitely not recorded.
 fn encode(claim: &Claim) -> Result<serde_json::Value, ClaimFault> {
     serde_json::to_value(claim).map_err(|_| ClaimFault::Unavailable)
 }
 
-/// Drives one claim.
-struct Driver {
+/// Runs the state machine of one claim.
+struct ClaimDriver {
     claims: Arc<Claims>,
     name: String,
     attempt: AttemptId,
     reply: Option<oneshot::Sender<ClaimReply>>,
 }
 
-impl Driver {
-    async fn run(mut self, request: ClaimRequest, caller_waits: Duration) {
-        let deadline = tokio::time::Instant::now() + caller_waits;
+impl ClaimDriver {
+    async fn run(mut self, request: ClaimRequest, caller_timeout: Duration) {
+        let deadline = tokio::time::Instant::now() + caller_timeout;
         let settings = self.claims.settings.clone();
         let (mut machine, first) = ClaimMachine::start(settings, request, unix_seconds());
         let mut actions = vec![first];
         while !machine.is_closed() || !actions.is_empty() {
             let mut events = Vec::new();
             for action in actions.drain(..) {
-                events.extend(self.act(action, &mut machine, deadline).await);
+                events.extend(self.perform(action, &mut machine, deadline).await);
             }
             for event in events {
                 actions.extend(machine.handle(event, unix_seconds()));
             }
         }
-        self.claims.forget(self.attempt);
+        self.claims.clear_in_progress(self.attempt);
     }
 
-    async fn act(
+    async fn perform(
         &mut self,
         action: ClaimAction,
         machine: &mut ClaimMachine,
@@ -234,12 +234,12 @@
 
     fn answer(&mut self, reply: ClaimReply) {
         if let Some(channel) = self.reply.take() {
-            // A caller that has gone needs no answer.
+            // Fails only if the caller has disconnected and needs no answer.
             let _ = channel.send(reply);
         }
     }
 
-    /// Writes; meanwhile the caller may go and the deadline may pass.
+    /// Performs a write. The caller may disconnect or its deadline may pass meanwhile.
     async fn write(
         &mut self,
         after: Duration,
@@ -260,7 +260,7 @@
                 () = reply.closed() => ResultCode::Stopping,
                 () = tokio::time::sleep_until(deadline) => ResultCode::DeadlinePassed,
             };
-            // While a write is outstanding, giving up asks for nothing but the refusal.
+            // While a write is outstanding, `GiveUp` yields no action other than the refusal.
             for action in machine.handle(ClaimEvent::GiveUp(code), unix_seconds()) {
                 if let ClaimAction::Refuse(refusal) = action {
                     self.answer(ClaimReply::Refuse(refusal));
@@ -271,7 +271,7 @@
         vec![ClaimEvent::Written(writing.await)]
     }
 
-    /// Lets the request be sent and waits for its end.
+    /// Permits the request to be sent and waits for its outcome.
     async fn proceed(&mut self) -> RequestEnd {
         let (end, ended) = oneshot::channel();
         let ticket = ClaimTicket { end };
--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -1,4 +1,4 @@
-//! The time of day, for records that other daemons read.
+//! Wall-clock time for records that other daemons read.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
--- a/crates/gateway/src/completions.rs
+++ b/crates/gateway/src/completions.rs
@@ -17,22 +17,22 @@
 use serde_json::value::RawValue;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::answer::bad;
+use crate::answer::bad_request;
+use crate::back_end_ticket::BackEndTicket;
 use crate::body::read_body;
 use crate::call::{Call, CallKind, new_attempt};
-use crate::endpoint::{Endpoint, Received};
-use crate::gateway::{Gateway, Reply};
-use crate::head::{RequestHead, back_end_headers, passed_on};
-use crate::place::Place;
+use crate::endpoint::{Endpoint, IncomingRequest};
+use crate::gateway::{ClaimOutcome, Gateway};
+use crate::head::{RequestHead, back_end_headers, forwarded_headers};
 use crate::relay::{EVENT_STREAM, Relay};
-use crate::run::{Held, Run, finish};
+use crate::run::{BufferedAnswer, Run, finish};
 
-/// Longest start of a prompt that decides about prefix affinity, in bytes.
-const PREFIX_BYTES: usize = 1_024;
-/// A prompt shorter than this, in bytes, is not worth a place in a prefix cache.
-const SHORTEST_PREFIX_BYTES: usize = 64;
+/// Maximum length of the prompt prefix used for prefix affinity, in bytes.
+const MAX_PREFIX_BYTES: usize = 1_024;
+/// Minimum length of a prompt prefix, in bytes; caching a shorter one has no benefit.
+const MIN_PREFIX_BYTES: usize = 64;
 
-/// Which of the two interfaces.
+/// The kind of completion endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CompletionKind {
     /// Prompt in `prompt`.
@@ -57,14 +57,13 @@
     }
 }
 
-/// Handles one of the two interfaces.
+/// Handles requests to one completion endpoint.
 pub(crate) struct Completions {
-    /// Which interface.
     pub kind: CompletionKind,
 }
 
-/// A request as read from its body.
-struct Wanted {
+/// A completion request, parsed from its body.
+struct CompletionRequest {
     artifact: ArtifactId,
     /// The artifact in its text form.
     name: String,
@@ -84,28 +83,28 @@
         request_id: &str,
     ) -> Result<(), Refusal> {
         let started = Instant::now();
-        let Received {
+        let IncomingRequest {
             mut admitted,
             head,
             deadline,
-        } = Received::new(gateway, request, request_id)?;
-        let body = read_body(request, gateway, &mut admitted.held_bytes).await?;
+        } = IncomingRequest::new(gateway, request, request_id)?;
+        let body = read_body(request, gateway, &mut admitted.reserved_bytes).await?;
         let configuration = gateway.configuration().await?;
-        let wanted = self.read(&body, &configuration)?;
-        // The engine gets another one; this one is not kept while the request waits.
+        let completion = self.read(&body, &configuration)?;
+        // The engine is sent a rewritten body; the original is not kept while the request waits.
         drop(body);
-        let call = self.call(gateway, request.headers(), &head, &wanted, deadline);
-        let target = wanted.artifact.model.as_str();
+        let call = self.call(gateway, request.headers(), &head, &completion, deadline);
+        let target = completion.artifact.model.as_str();
         let claim = match gateway.claim(&call, &head, target).await? {
-            Reply::Proceed(claim) => claim,
-            Reply::Recorded(answer) => {
+            ClaimOutcome::Proceed(claim) => claim,
+            ClaimOutcome::Recorded(answer) => {
                 answer.write(response);
                 return Ok(());
             }
         };
-        let place = enter_queue(gateway, &head, &wanted, deadline);
-        let run = Run::new(Arc::clone(gateway), call, place, claim, admitted);
-        if wanted.stream {
+        let ticket = enqueue(gateway, &head, &completion, deadline);
+        let run = Run::new(Arc::clone(gateway), call, ticket, claim, admitted);
+        if completion.stream {
             return answer_streamed(run, response, started).await;
         }
         let answer = finish(run).await?;
@@ -115,17 +114,23 @@
 }
 
 impl Completions {
-    /// Reads the body and finds out what it wants.
-    fn read(&self, body: &Bytes, configuration: &Configuration) -> Result<Wanted, Refusal> {
-        let mut fields: BTreeMap<Cow<'_, str>, &RawValue> = serde_json::from_slice(body)
-            .map_err(|error| bad(ResultCode::BadBody, format!("not a JSON object: {error}")))?;
+    /// Parses the body and resolves the requested artifact.
+    fn read(
+        &self,
+        body: &Bytes,
+        configuration: &Configuration,
+    ) -> Result<CompletionRequest, Refusal> {
+        let mut fields: BTreeMap<Cow<'_, str>, &RawValue> =
+            serde_json::from_slice(body).map_err(|error| {
+                bad_request(ResultCode::BadBody, format!("not a JSON object: {error}"))
+            })?;
         let reference: Cow<'_, str> = field(&fields, "model")?
-            .ok_or_else(|| bad(ResultCode::BadBody, "the field model is missing"))?;
+            .ok_or_else(|| bad_request(ResultCode::BadBody, "the field model is missing"))?;
         let stream: bool = field(&fields, "stream")?.unwrap_or(false);
         let prompt_field = self.kind.prompt_field();
         let prompt = fields.get(prompt_field).ok_or_else(|| {
             let detail = format!("the field {prompt_field} is missing");
-            bad(ResultCode::BadBody, detail)
+            bad_request(ResultCode::BadBody, detail)
         })?;
         let prefix = prefix_digest(prompt.get().as_bytes());
         let reference: ModelRef = reference
@@ -140,7 +145,7 @@
             .map_err(|_| Refusal::new(ResultCode::Internal))?;
         fields.insert(Cow::Borrowed("model"), &model);
         let body = serde_json::to_vec(&fields).map_err(|_| Refusal::new(ResultCode::Internal))?;
-        Ok(Wanted {
+        Ok(CompletionRequest {
             artifact,
             name,
             queue_limit,
@@ -155,24 +160,25 @@
         gateway: &Gateway,
         headers: &HeaderMap,
         head: &RequestHead,
-        wanted: &Wanted,
+        completion: &CompletionRequest,
         deadline: Timestamp,
     ) -> Call {
         let mut headers = back_end_headers(headers, head);
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-        // A stream may go on long after its first token, and so may its attempts.
-        let last_attempt = if wanted.stream {
+        // A stream may continue long after its first token, so attempts may start until the stream
+        // limit.
+        let last_attempt = if completion.stream {
             deadline + gateway.settings.stream_limit
         } else {
             deadline
         };
         Call {
             kind: CallKind::Engine,
-            target: wanted.name.clone(),
+            target: completion.name.clone(),
             method: reqwest::Method::POST,
             path_and_query: self.kind.path().to_owned(),
             headers,
-            body: wanted.body.clone(),
+            body: completion.body.clone(),
             request_id: head.request_id.clone(),
             priority: head.priority,
             deadline,
@@ -187,25 +193,25 @@
     }
 }
 
-fn enter_queue(
+fn enqueue(
     gateway: &Gateway,
     head: &RequestHead,
-    wanted: &Wanted,
+    completion: &CompletionRequest,
     deadline: Timestamp,
-) -> Place {
-    let ticket = gateway.scheduler.enter(|request| Arrival {
+) -> BackEndTicket {
+    let ticket = gateway.scheduler.enqueue(|request| Arrival {
         request,
-        artifact: wanted.artifact.clone(),
+        artifact: completion.artifact.clone(),
         priority: head.priority,
         deadline,
-        queue_limit: wanted.queue_limit,
-        prefix: wanted.prefix,
+        queue_limit: completion.queue_limit,
+        prefix: completion.prefix,
     });
-    Place::Engine(ticket)
+    BackEndTicket::Engine(ticket)
 }
 
-/// Answers a request for a stream. Until its first bytes a stream can still be refused with a status
-/// of its own.
+/// Answers a streaming request. A refusal before the first bytes of the stream is still returned as
+/// an HTTP status.
 async fn answer_streamed(
     mut run: Run,
     response: &mut Response,
@@ -213,7 +219,7 @@
 ) -> Result<(), Refusal> {
     match open_stream(&mut run).await {
         Ok(Opened::Stream(opened)) => {
-            let headers = passed_on(opened.headers());
+            let headers = forwarded_headers(opened.headers());
             let mut relay = Relay::new(run, opened, started);
             let first = relay.advance().await?.unwrap_or_default();
             response.headers_mut().extend(headers);
@@ -221,35 +227,35 @@
         }
         Ok(Opened::Whole(answer)) => answer.into_answer(run).write(response),
         Err(refusal) => {
-            run.settle(RequestEnd::refused(refusal.code));
+            run.settle_claim(RequestEnd::refused(refusal.code));
             return Err(refusal);
         }
     }
     Ok(())
 }
 
-/// How an engine answers a request for a stream.
+/// The answer of an engine to a streaming request.
 enum Opened {
-    /// With a stream.
+    /// A stream.
     Stream(reqwest::Response),
-    /// With an answer of another kind, such as an error.
-    Whole(Held),
+    /// An answer without a stream, such as an error.
+    Whole(BufferedAnswer),
 }
 
-/// Sends a request until a stream begins or another answer has come.
+/// Sends attempts until a stream starts or an answer without a stream is received.
 async fn open_stream(run: &mut Run) -> Result<Opened, Refusal> {
     loop {
         let head = run.open().await?;
         if is_event_stream(&head) {
             return Ok(Opened::Stream(head));
         }
-        if let Some(held) = run.hold(head).await? {
-            return Ok(Opened::Whole(held));
+        if let Some(buffered) = run.buffer_answer(head).await? {
+            return Ok(Opened::Whole(buffered));
         }
     }
 }
 
-/// Reads one field of a body.
+/// Parses one field of a body.
 fn field<'a, T: serde::Deserialize<'a>>(
     fields: &BTreeMap<Cow<'_, str>, &'a RawValue>,
     name: &str,
@@ -259,7 +265,7 @@
     };
     let value = serde_json::from_str(value.get());
     value.map(Some).map_err(|_| {
-        bad(
+        bad_request(
             ResultCode::BadBody,
             format!("the field {name} has the wrong type"),
         )
@@ -267,8 +273,8 @@
 }
 
 fn prefix_digest(prompt: &[u8]) -> Option<u64> {
-    let prefix = &prompt[..prompt.len().min(PREFIX_BYTES)];
-    (prefix.len() >= SHORTEST_PREFIX_BYTES).then(|| xxh3_64(prefix))
+    let prefix = &prompt[..prompt.len().min(MAX_PREFIX_BYTES)];
+    (prefix.len() >= MIN_PREFIX_BYTES).then(|| xxh3_64(prefix))
 }
 
 fn is_event_stream(response: &reqwest::Response) -> bool {
--- a/crates/gateway/src/counters.rs
+++ b/crates/gateway/src/counters.rs
@@ -1,4 +1,4 @@
-//! Counters of the callers' interface.
+//! Metrics of the API for callers.
 
 use std::time::Duration;
 
@@ -55,23 +55,23 @@
     "Requests put in quarantine because back ends have crashed under them.",
 );
 
-/// Counts a request that broke off because its back end crashed.
-pub(crate) fn back_end_crashed() {
+/// Counts a request that was cut off by a crash of its back end.
+pub(crate) fn count_back_end_crash() {
     metrics::counter!(BACK_END_CRASHES.name).increment(1);
 }
 
 /// Counts a request that is put in quarantine.
-pub(crate) fn quarantined() {
+pub(crate) fn count_quarantine() {
     metrics::counter!(REQUESTS_QUARANTINED.name).increment(1);
 }
 
 /// Counts a refusal.
-pub(crate) fn refused(code: ResultCode) {
+pub(crate) fn count_refusal(code: ResultCode) {
     metrics::counter!(REFUSED.name, "code" => code.number().to_string()).increment(1);
 }
 
 /// Counts an answer of a back end.
-pub(crate) fn relayed(status: u16) {
+pub(crate) fn count_answer(status: u16) {
     let class = match status / 100 {
         2 => "2xx",
         3 => "3xx",
@@ -82,23 +82,23 @@
 }
 
 /// Counts an attempt.
-pub(crate) fn attempted() {
+pub(crate) fn count_attempt() {
     metrics::counter!(ATTEMPTS.name).increment(1);
 }
 
-/// Notes how many requests wait and run.
+/// Sets the numbers of waiting and running requests.
 #[expect(clippy::cast_precision_loss, reason = "counts stay far below 2^52")]
-pub(crate) fn occupancy(waiting: usize, running: usize) {
+pub(crate) fn set_occupancy(waiting: usize, running: usize) {
     metrics::gauge!(WAITING.name).set(waiting as f64);
     metrics::gauge!(RUNNING.name).set(running as f64);
 }
 
-/// Notes the time to the first event of a stream.
-pub(crate) fn first_token(after: Duration) {
+/// Records the time to the first event of a stream.
+pub(crate) fn record_first_token(after: Duration) {
     metrics::histogram!(FIRST_TOKEN.name).record(after.as_secs_f64());
 }
 
 /// Counts the events of an ended stream.
-pub(crate) fn streamed(events: u64) {
+pub(crate) fn count_stream_events(events: u64) {
     metrics::counter!(TOKENS.name).increment(events);
 }
--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -1,6 +1,7 @@
-//! Requests under which back ends have crashed, and that this daemon does not send any more for a while.
+//! Tracks requests that crash back ends and quarantines them for a limited time.
 //!
-//! What counts as a crash, and when a request is sent again, is decided by [`flaxward_routing::quarantine`].
+//! [`flaxward_routing::quarantine`] decides what counts as a crash and when a quarantined request
+//! may be sent again.
 
 use std::collections::BTreeSet;
 use std::io::ErrorKind;
@@ -22,24 +23,26 @@
 use crate::counters;
 use crate::scheduler::BackEnd;
 
-/// Time for which a request that broke off waits for the answer whether its back end has crashed, before it is sent to
-/// another one. A port at which nothing listens answers within the latency of the network.
-const CHECK_WAIT: Duration = Duration::from_millis(30);
-/// Time allowed for a connection to the port of a back end that may have crashed. One that takes longer has not refused.
+/// Time that a request that was cut off waits for the crash check of its back end before it is
+/// retried. A port without a listener refuses connections within the network latency.
+const CRASH_CHECK_TIMEOUT: Duration = Duration::from_millis(30);
+/// Connect timeout of the crash check. A connection that times out was not refused, so it does not
+/// count as a crash.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What this daemon knows of requests that crash back ends.
-pub(crate) struct Crashes {
+/// The requests known to this daemon to crash back ends.
+pub(crate) struct CrashTracker {
     quarantine: Mutex<Quarantine>,
-    /// Back ends that take no new work; they may end as planned.
+    /// Back ends that accept no new work. Their exit may be planned, so it does not count as a
+    /// crash.
     leaving: Mutex<BTreeSet<RunnerName>>,
-    /// Told when a request is put in quarantine.
+    /// Notified when a request is quarantined.
     changes: watch::Sender<()>,
     clock: Clock,
 }
 
-impl Crashes {
-    /// Nothing is known of any request.
+impl CrashTracker {
+    /// Creates a tracker without any records.
     pub fn new(settings: QuarantineSettings, clock: Clock) -> Self {
         Self {
             quarantine: Mutex::new(Quarantine::new(settings)),
@@ -49,16 +52,16 @@
         }
     }
 
-    /// Replaces the set of back ends that take no new work.
+    /// Replaces the set of back ends that accept no new work.
     pub fn set_leaving(&self, leaving: BTreeSet<RunnerName>) {
         *self.leaving.lock().unwrap_or_else(PoisonError::into_inner) = leaving;
     }
 
-    /// Waits until a request is in quarantine; returns the refusal.
-    pub async fn until_quarantined(&self, call: &Call) -> Refusal {
+    /// Waits until a request is quarantined and returns the refusal.
+    pub async fn wait_until_quarantined(&self, call: &Call) -> Refusal {
         let mut changes = self.changes.subscribe();
         loop {
-            if let Some(remaining) = self.remaining(call) {
+            if let Some(remaining) = self.quarantine_remaining(call) {
                 return Refusal::new(ResultCode::RequestQuarantined).with_retry_after(remaining);
             }
             if changes.changed().await.is_err() {
@@ -67,9 +70,9 @@
         }
     }
 
-    /// Finds out whether a back end has crashed under a request that broke off there, and counts it. A back end that only
-    /// breaks connections still listens.
-    pub async fn note_break(self: &Arc<Self>, call: &Call, back_end: &BackEnd) {
+    /// Checks whether a back end has crashed while it ran a request that was cut off, and records
+    /// the crash. A back end that only breaks connections still listens.
+    pub async fn check_for_crash(self: &Arc<Self>, call: &Call, back_end: &BackEnd) {
         if self.is_leaving(&back_end.runner) {
             return;
         }
@@ -80,17 +83,17 @@
         let (crashes, back_end) = (Arc::clone(self), back_end.clone());
         let request_id = call.request_id.clone();
         let check = tokio::spawn(async move {
-            if is_refused(&back_end.address).await {
-                crashes.crashed(&report, &back_end, &request_id);
+            if refuses_connections(&back_end.address).await {
+                crashes.record_crash(&report, &back_end, &request_id);
             }
         });
-        // The check goes on in the background if it takes longer, and if the caller goes.
-        let _ = timeout(CHECK_WAIT, check).await;
+        // The check continues in the background if it takes longer or the caller disconnects.
+        let _ = timeout(CRASH_CHECK_TIMEOUT, check).await;
     }
 
-    /// A back end has run a request to an answer of its own. If others have crashed under it, they did so for another
-    /// reason.
-    pub fn note_completed(&self, call: &Call) {
+    /// Records that a back end completed a request. Crashes of other back ends during this request
+    /// then had another cause.
+    pub fn record_completed(&self, call: &Call) {
         if self.quarantine().is_empty() {
             return;
         }
@@ -103,15 +106,15 @@
         }
     }
 
-    fn crashed(&self, report: &RunReport, back_end: &BackEnd, request_id: &str) {
+    fn record_crash(&self, report: &RunReport, back_end: &BackEnd, request_id: &str) {
         let RunReport { fingerprint, .. } = report;
-        counters::back_end_crashed();
+        counters::count_back_end_crash();
         spdlog::warn!(
             "event=back-end-crashed runner={} request={request_id} fingerprint={fingerprint}",
             back_end.runner
         );
         if self.record(report) == Recorded::Quarantined {
-            counters::quarantined();
+            counters::count_quarantine();
             spdlog::warn!("event=request-quarantined fingerprint={fingerprint}");
             self.changes.send_replace(());
         }
@@ -122,8 +125,8 @@
         self.quarantine().record(report, now)
     }
 
-    /// Time until the quarantine of a request ends; `None` if it is in none.
-    fn remaining(&self, call: &Call) -> Option<Duration> {
+    /// Time until the quarantine of a request ends; `None` if it is not quarantined.
+    fn quarantine_remaining(&self, call: &Call) -> Option<Duration> {
         let quarantine = self.quarantine();
         if quarantine.is_empty() {
             return None;
@@ -136,7 +139,7 @@
         leaving.contains(runner)
     }
 
-    /// No code that holds the lock can panic half-way through a change, so a poisoned lock is still usable.
+    /// No code that holds the lock can panic during a change, so a poisoned lock is still usable.
     fn quarantine(&self) -> MutexGuard<'_, Quarantine> {
         self.quarantine
             .lock()
@@ -144,7 +147,7 @@
     }
 }
 
-/// Whether an attempt that ended like this may have crashed its back end.
+/// Whether a crash of the back end can cause this end of an attempt.
 pub(crate) fn may_be_crash(end: AttemptEnd) -> bool {
     match end {
         AttemptEnd::BrokenBeforeHead
@@ -158,8 +161,8 @@
     }
 }
 
-/// Whether nothing listens at an address.
-async fn is_refused(address: &str) -> bool {
+/// Whether connections to an address are refused, because nothing listens there.
+async fn refuses_connections(address: &str) -> bool {
     let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
     matches!(connected, Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused)
 }
--- a/crates/gateway/src/endpoint.rs
+++ b/crates/gateway/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! What all paths of the callers' interface have in common.
+//! Common handling of all endpoints of the API for callers.
 
 use std::sync::Arc;
 
@@ -9,9 +9,9 @@
 use crate::gateway::{Admitted, Gateway};
 use crate::head::{RequestHead, read_head, request_id};
 
-/// A path of the callers' interface.
+/// An endpoint of the API for callers.
 pub(crate) trait Endpoint: Send + Sync + 'static {
-    /// Writes the answer to a request, or says why there is none.
+    /// Writes the answer to a request, or returns the refusal.
     fn answer(
         &self,
         gateway: &Arc<Gateway>,
@@ -21,16 +21,14 @@
     ) -> impl Future<Output = Result<(), Refusal>> + Send;
 }
 
-/// Serves a path: every answer carries the id of its request, and every refusal its code.
-pub(crate) struct Served<E> {
-    /// The gateway.
+/// Handler of an endpoint. Adds the request id to every answer and writes refusals as errors.
+pub(crate) struct EndpointHandler<E> {
     pub gateway: Arc<Gateway>,
-    /// The path.
     pub endpoint: E,
 }
 
 #[async_trait]
-impl<E: Endpoint> Handler for Served<E> {
+impl<E: Endpoint> Handler for EndpointHandler<E> {
     async fn handle(
         &self,
         request: &mut Request,
@@ -52,20 +50,20 @@
     }
 }
 
-/// A request for a back end, taken in and with its headers read.
-pub(crate) struct Received {
-    /// Its place among the requests in progress.
+/// A request for a back end, after admission and with its headers parsed.
+pub(crate) struct IncomingRequest {
+    /// Counts it among the requests in progress.
     pub admitted: Admitted,
-    /// What its headers say.
+    /// The parsed headers.
     pub head: RequestHead,
-    /// When its answer must have come.
+    /// When the answer is due.
     pub deadline: Timestamp,
 }
 
-impl Received {
-    /// Takes a request in and reads its headers.
+impl IncomingRequest {
+    /// Admits a request and parses its headers.
     pub fn new(gateway: &Gateway, request: &Request, request_id: &str) -> Result<Self, Refusal> {
-        let admitted = gateway.enter()?;
+        let admitted = gateway.admit()?;
         let head = read_head(request.headers(), request_id.to_owned(), &gateway.settings)?;
         let deadline = gateway.clock.now() + head.deadline;
         Ok(Self {
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! The gateway of a daemon.
+//! The gateway: shared state, routes and lifecycle of the API for callers.
 
 use std::collections::BTreeSet;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -24,12 +24,12 @@
 use tokio_util::task::task_tracker::TaskTrackerToken;
 
 use crate::answer::Answer;
-use crate::bytes_budget::{BytesBudget, HeldBytes};
+use crate::bytes_budget::{BytesBudget, ReservedBytes};
 use crate::call::Call;
 use crate::claims::{ClaimReply, ClaimTicket, Claims};
 use crate::completions::{CompletionKind, Completions};
-use crate::crashes::Crashes;
-use crate::endpoint::{Endpoint, Served};
+use crate::crashes::CrashTracker;
+use crate::endpoint::{Endpoint, EndpointHandler};
 use crate::head::RequestHead;
 use crate::models::Models;
 use crate::registry::{Registry, RequestView};
@@ -39,13 +39,13 @@
 use crate::settings::GatewaySettings;
 use crate::unknown_path::UnknownPath;
 
-/// Time that a request waits for the first configuration of a daemon that has just started.
+/// Time that a request waits for a newly started daemon to receive its first configuration.
 const CONFIGURATION_WAIT: Duration = Duration::from_secs(2);
 
-/// Time between two looks at deadlines and demands.
-const TICK: Duration = Duration::from_millis(50);
+/// Interval between checks of deadlines and demands.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The callers' interface of one daemon.
+/// The API for callers of one daemon.
 pub struct Gateway {
     pub(crate) settings: GatewaySettings,
     pub(crate) http: reqwest::Client,
@@ -53,59 +53,60 @@
     pub(crate) scheduler: Arc<Scheduler>,
     pub(crate) service_pool: Arc<ServicePool>,
     configuration: watch::Receiver<Arc<Configuration>>,
-    pub(crate) bytes: BytesBudget,
-    budget: Mutex<RetryBudget>,
+    pub(crate) byte_budget: BytesBudget,
+    retry_budget: Mutex<RetryBudget>,
     claims: Arc<Claims>,
-    pub(crate) crashes: Arc<Crashes>,
+    pub(crate) crashes: Arc<CrashTracker>,
     pub(crate) registry: Arc<Registry>,
-    /// Requests in progress, and claims whose outcome is being recorded.
+    /// Requests in progress, and claims whose outcome is being recorded. A planned stop waits for
+    /// them.
     requests: TaskTracker,
     is_stopping: AtomicBool,
 }
 
-/// A request that was taken in.
+/// A request that was admitted.
 pub(crate) struct Admitted {
-    /// Keeps a planned stop waiting.
+    /// Delays a planned stop until it is dropped.
     pub in_progress: TaskTrackerToken,
-    /// Its bodies, as long as they are held.
-    pub held_bytes: HeldBytes,
+    /// Bytes reserved for its buffered bodies.
+    pub reserved_bytes: ReservedBytes,
 }
 
-/// What a claim of a key has brought.
-pub(crate) enum Reply {
-    /// The request may be sent; with a ticket if it needed a claim.
+/// The outcome of claiming an idempotency key.
+pub(crate) enum ClaimOutcome {
+    /// The request may be sent; the ticket is present if it needed a claim.
     Proceed(Option<ClaimTicket>),
     /// The answer recorded under the key.
     Recorded(Box<Answer>),
 }
 
 impl Gateway {
-    /// A gateway. Demands for coordinators go out on `demands`; answers come back by
-    /// [`Gateway::on_routes`]. `http` should be made by [`crate::back_end_client`].
+    /// Creates a gateway. Demands for coordinators are sent on `demands`; their answers are passed
+    /// to [`Gateway::on_routes`]. `http` should be built by [`crate::back_end_client`].
     pub fn new(
         settings: GatewaySettings,
         configuration: watch::Receiver<Arc<Configuration>>,
         http: reqwest::Client,
         demands: DemandSender,
         store: Arc<dyn ObjectApi>,
-        me: DaemonName,
+        daemon: DaemonName,
     ) -> Arc<Self> {
         let clock = Clock::start(Arc::new(SystemTime));
         let requests = TaskTracker::new();
         let zones = settings.zones.clone();
         let zone = zones.first().cloned();
         let admission = Admission::new(settings.admission.clone(), zones, rand::random());
-        let claims = Claims::new(store, me, settings.claims.clone(), requests.clone());
-        let budget = RetryBudget::new(settings.retries, clock.now());
+        let claims = Claims::new(store, daemon, settings.claims.clone(), requests.clone());
+        let retry_budget = RetryBudget::new(settings.retries, clock.now());
         Arc::new(Self {
             http,
             clock: clock.clone(),
-            crashes: Arc::new(Crashes::new(settings.quarantine, clock.clone())),
+            crashes: Arc::new(CrashTracker::new(settings.quarantine, clock.clone())),
             scheduler: Arc::new(Scheduler::new(admission, demands, clock.clone())),
             service_pool: Arc::new(ServicePool::new(zone, clock, rand::random())),
             configuration,
-            bytes: BytesBudget::new(settings.held_bytes),
-            budget: Mutex::new(budget),
+            byte_budget: BytesBudget::new(settings.held_bytes),
+            retry_budget: Mutex::new(retry_budget),
             claims: Arc::new(claims),
             requests,
             registry: Arc::default(),
@@ -114,70 +115,71 @@
         })
     }
 
-    /// The paths of the callers' interface. Its last path takes whatever no other takes, so mount
-    /// it after all others.
+    /// The routes of the API for callers. The last route matches every path, so mount this router
+    /// after all others.
     pub fn router(self: &Arc<Self>) -> Router {
-        let text = self.serve(Completions {
+        let text = self.handler(Completions {
             kind: CompletionKind::Text,
         });
-        let chat = self.serve(Completions {
+        let chat = self.handler(Completions {
             kind: CompletionKind::Chat,
         });
         Router::new()
             .push(Router::with_path("v1/completions").post(text))
             .push(Router::with_path("v1/chat/completions").post(chat))
-            .push(Router::with_path("v1/models").get(self.serve(Models)))
-            .push(Router::with_path("services/{name}/{**path}").goal(self.serve(Services)))
-            .push(Router::with_path("{**path}").goal(self.serve(UnknownPath)))
+            .push(Router::with_path("v1/models").get(self.handler(Models)))
+            .push(Router::with_path("services/{name}/{**path}").goal(self.handler(Services)))
+            .push(Router::with_path("{**path}").goal(self.handler(UnknownPath)))
     }
 
-    fn serve<E: Endpoint>(self: &Arc<Self>, endpoint: E) -> Served<E> {
-        Served {
+    fn handler<E: Endpoint>(self: &Arc<Self>, endpoint: E) -> EndpointHandler<E> {
+        EndpointHandler {
             gateway: Arc::clone(self),
             endpoint,
         }
     }
 
-    /// Takes answers of coordinators.
+    /// Applies routing answers of coordinators.
     pub fn on_routes(&self, answers: Vec<RouteAnswer>) {
         for answer in answers {
             self.scheduler.handle(AdmissionEvent::Routes(answer));
         }
     }
 
-    /// Takes word of coordinators that answers which this gateway holds still hold.
-    pub fn on_routes_held(&self, held: HeldAnswers) {
+    /// Applies confirmations of coordinators that routing answers sent earlier are still valid.
+    pub fn on_routes_confirmed(&self, held: HeldAnswers) {
         self.scheduler.handle(AdmissionEvent::RoutesHeld(held));
     }
 
-    /// Takes the zones whose coordinator is known.
-    pub fn on_heads(&self, heads: BTreeSet<ZoneName>) {
-        self.scheduler.handle(AdmissionEvent::Heads(heads));
+    /// Replaces the set of zones whose coordinator is known.
+    pub fn on_known_coordinators(&self, zones: BTreeSet<ZoneName>) {
+        self.scheduler.handle(AdmissionEvent::Heads(zones));
     }
 
-    /// Takes the runners that take no new work.
+    /// Replaces the set of runners that accept no new work.
     pub fn on_leaving(&self, leaving: BTreeSet<RunnerName>) {
         self.service_pool.set_leaving(leaving.clone());
         self.crashes.set_leaving(leaving.clone());
         self.scheduler.handle(AdmissionEvent::Leaving(leaving));
     }
 
-    /// Takes the machine list, for plain services.
+    /// Applies the machine list, which gives the machines of plain services.
     pub fn on_machines(&self, machines: &[Machine]) {
         self.service_pool.set_machines(machines);
     }
 
-    /// How each artifact in use stands: requests waiting and running, replicas, expectations.
+    /// The state of each artifact in use: waiting and running requests, replicas, and when the next
+    /// replica is expected.
     pub fn artifacts(&self) -> Vec<ArtifactView> {
         self.scheduler.views()
     }
 
-    /// Requests that wait for a model.
+    /// Number of requests that wait for a model.
     pub fn waiting(&self) -> usize {
         self.artifacts().iter().map(|view| view.waiting).sum()
     }
 
-    /// Requests that run on a model.
+    /// Number of requests that run on a model.
     pub fn running(&self) -> usize {
         self.artifacts().iter().map(|view| view.running).sum()
     }
@@ -187,9 +189,9 @@
         self.registry.views(self.clock.now())
     }
 
-    /// Looks at deadlines and demands again and again. Ends when it is dropped.
+    /// Checks deadlines and demands periodically, until the future is dropped.
     pub async fn run(&self) {
-        let mut ticks = tokio::time::interval(TICK);
+        let mut ticks = tokio::time::interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
@@ -197,8 +199,8 @@
         }
     }
 
-    /// Stops as planned: new requests are refused, and the future ends when all others have ended
-    /// and the outcomes of claimed ones are recorded.
+    /// Performs a planned stop: new requests are refused, and the future completes when all others
+    /// have ended and the outcomes of claimed ones are recorded.
     pub async fn stop(&self) {
         self.is_stopping.store(true, Ordering::SeqCst);
         spdlog::info!(
@@ -210,24 +212,24 @@
         spdlog::info!("gateway: stopped");
     }
 
-    /// Takes a request in. It is in progress until the result is dropped.
-    pub(crate) fn enter(&self) -> Result<Admitted, Refusal> {
+    /// Admits a request. It counts as in progress until the result is dropped.
+    pub(crate) fn admit(&self) -> Result<Admitted, Refusal> {
         if self.requests.len() >= self.settings.max_in_progress {
             return Err(Refusal::new(ResultCode::Overloaded));
         }
         let token = self.requests.token();
-        // Looked at after taking the token, so that a stop waits for all it did not refuse.
+        // Checked after taking the token, so that a stop waits for every request it did not refuse.
         if self.is_stopping.load(Ordering::SeqCst) {
             return Err(Refusal::new(ResultCode::Stopping));
         }
         Ok(Admitted {
             in_progress: token,
-            held_bytes: HeldBytes::default(),
+            reserved_bytes: ReservedBytes::default(),
         })
     }
 
-    /// The configuration in force. A daemon that has just started has none; a request waits for it
-    /// for a moment, since the first peer or the store is about to tell.
+    /// The configuration in force. A newly started daemon has none; a request waits for it up to
+    /// [`CONFIGURATION_WAIT`], since a peer or the store is expected to supply it.
     pub(crate) async fn configuration(&self) -> Result<Arc<Configuration>, Refusal> {
         let is_known = |known: &Arc<Configuration>| known.revision() != Revision(0);
         let known = Arc::clone(&self.configuration.borrow());
@@ -242,12 +244,13 @@
         }
     }
 
-    /// The retry budget.
-    pub(crate) fn budget(&self) -> MutexGuard<'_, RetryBudget> {
-        self.budget.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(crate) fn retry_budget(&self) -> MutexGuard<'_, RetryBudget> {
+        self.retry_budget
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Adds when to come back to a refusal that another try may overcome.
+    /// Sets the retry delay of a refusal for which a later retry may succeed.
     pub(crate) fn with_retry_after(&self, refusal: Refusal) -> Refusal {
         let may_pass = matches!(refusal.code.http_status(), 503 | 504);
         if may_pass && refusal.retry_after.is_none() {
@@ -256,48 +259,55 @@
         refusal
     }
 
-    /// Claims the key of a request, if it needs a claim. `target` is what the request goes to.
+    /// Claims the idempotency key of a request, if it needs a claim. `target` names the model or
+    /// service that the request is for.
     pub(crate) async fn claim(
         &self,
         call: &Call,
         head: &RequestHead,
         target: &str,
-    ) -> Result<Reply, Refusal> {
+    ) -> Result<ClaimOutcome, Refusal> {
         match &head.key {
-            // Boxed: few requests have a claim, and the others are not to carry its state.
+            // Boxed so that the many requests without a claim do not carry the state of this
+            // future.
             Some(key) if call.policy.needs_claim() => {
                 self.take_claim(call, key, target).boxed().await
             }
-            _ => Ok(Reply::Proceed(None)),
+            _ => Ok(ClaimOutcome::Proceed(None)),
         }
     }
 
-    async fn take_claim(&self, call: &Call, key: &str, target: &str) -> Result<Reply, Refusal> {
+    async fn take_claim(
+        &self,
+        call: &Call,
+        key: &str,
+        target: &str,
+    ) -> Result<ClaimOutcome, Refusal> {
         let name = claim_name(target, key);
         let digest = request_digest(call.method.as_str(), &call.path_and_query, &call.body);
         let now = self.clock.now();
-        let may_be_sent_for = call.policy.deadline.since(now);
-        let caller_waits = call.deadline.since(now);
+        let send_window = call.policy.deadline.since(now);
+        let caller_timeout = call.deadline.since(now);
         let attempt = call.first_attempt;
         let taking = self
             .claims
-            .take(name, digest, attempt, may_be_sent_for, caller_waits);
+            .take(name, digest, attempt, send_window, caller_timeout);
         match taking.await {
-            ClaimReply::Proceed(ticket) => Ok(Reply::Proceed(Some(ticket))),
+            ClaimReply::Proceed(ticket) => Ok(ClaimOutcome::Proceed(Some(ticket))),
             ClaimReply::Replay {
                 status,
                 content_type,
                 body,
             } => {
-                let answer = recorded(status, &content_type, body);
-                Ok(Reply::Recorded(Box::new(answer)))
+                let answer = recorded_answer(status, &content_type, body);
+                Ok(ClaimOutcome::Recorded(Box::new(answer)))
             }
             ClaimReply::Refuse(refusal) => Err(refusal),
         }
     }
 }
 
-fn recorded(status: u16, content_type: &str, body: String) -> Answer {
+fn recorded_answer(status: u16, content_type: &str, body: String) -> Answer {
     let mut headers = HeaderMap::new();
     if let Ok(value) = HeaderValue::from_str(content_type) {
         headers.insert(CONTENT_TYPE, value);
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,15 +1,16 @@
-//! The callers' HTTP interface of a daemon: completions, models and plain services.
+//! HTTP API of a daemon for callers: completions, models and plain services.
 //!
-//! A request is checked, waits until [`flaxward_control::admission`] finds it a back end, is sent
-//! under an attempt id, and its answer is relayed. What happens after a failed attempt is decided
-//! by [`flaxward_control::attempt`]; requests with an idempotency key are claimed first, see
-//! [`flaxward_control::claims`].
+//! A request is validated, queued until [`flaxward_control::admission`] assigns it a back end, and
+//! sent under an attempt id; its answer is relayed to the caller. [`flaxward_control::attempt`]
+//! decides whether a failed attempt is retried. Requests with an idempotency key are claimed first,
+//! see [`flaxward_control::claims`].
 
 #![warn(clippy::pedantic)]
 #![allow(clippy::module_name_repetitions, clippy::must_use_candidate)]
 
 mod answer;
 mod attempt;
+mod back_end_ticket;
 mod body;
 mod bytes_budget;
 mod call;
@@ -22,7 +23,6 @@
 mod gateway;
 mod head;
 mod models;
-mod place;
 mod registry;
 mod relay;
 mod remainder;
--- a/crates/gateway/src/models.rs
+++ b/crates/gateway/src/models.rs
@@ -1,4 +1,4 @@
-//! `GET /v1/models`: what callers can ask for.
+//! `GET /v1/models`: lists the available models and adapters.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 use crate::endpoint::Endpoint;
 use crate::gateway::Gateway;
 
-/// Answers with the list of models.
+/// Handles requests for the list of models.
 pub(crate) struct Models;
 
 impl Endpoint for Models {
@@ -27,14 +27,14 @@
     }
 }
 
-/// The list of models.
+/// Body of the answer.
 #[derive(Serialize)]
 struct ModelList {
     object: &'static str,
     data: Vec<ModelEntry>,
 }
 
-/// One model, or an adapter of one.
+/// A model, or an adapter of a model.
 #[derive(Serialize)]
 struct ModelEntry {
     id: String,
--- a/crates/gateway/src/registry.rs
+++ b/crates/gateway/src/registry.rs
@@ -1,4 +1,4 @@
-//! The requests in progress, for operators.
+//! Registry of the requests in progress, for operators.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -6,24 +6,24 @@
 
 use flaxward_types::{RunnerName, Timestamp};
 
-/// One request in progress, as operators see it.
+/// A request in progress, as shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestView {
-    /// Its id, as told to the caller.
+    /// The request id, as sent to the caller.
     pub id: String,
-    /// What it wants: an artifact or a service.
+    /// The requested artifact or service.
     pub target: String,
-    /// The machine it was sent to; none while it waits.
+    /// The machine it was sent to; `None` until the first attempt.
     pub runner: Option<RunnerName>,
-    /// Its rank.
+    /// Priority from 0 to 9; higher goes first.
     pub priority: u8,
-    /// Time since it came.
+    /// Time since it arrived.
     pub age: Duration,
-    /// Time to its deadline.
+    /// Time until its deadline.
     pub time_left: Duration,
 }
 
-/// One request in progress.
+/// Record of a request in progress.
 #[derive(Debug)]
 struct Entry {
     id: String,
@@ -46,7 +46,7 @@
     entries: BTreeMap<u64, Entry>,
 }
 
-/// A request's place in the registry, which it leaves when this is dropped.
+/// The entry of a request in the registry, removed on drop.
 #[derive(Debug)]
 pub(crate) struct Registration {
     registry: Arc<Registry>,
@@ -54,7 +54,7 @@
 }
 
 impl Registry {
-    /// Takes a request in.
+    /// Adds a request.
     pub fn register(
         self: &Arc<Self>,
         id: &str,
@@ -95,14 +95,14 @@
         state.entries.values().map(view).collect()
     }
 
-    /// No code that holds the lock can panic half-way, so a poisoned lock is still usable.
+    /// No code that holds the lock can panic during a change, so a poisoned lock is still usable.
     fn lock(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 impl Registration {
-    /// Notes that the request was sent to a machine.
+    /// Records the machine that the request was sent to.
     pub fn sent_to(&self, runner: &RunnerName) {
         if let Some(entry) = self.registry.lock().entries.get_mut(&self.number) {
             entry.runner = Some(runner.clone());
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -1,5 +1,5 @@
-//! Relays a stream of tokens to the caller: each once, in order and to the end, over as many
-//! attempts as it takes.
+//! Relays a stream of tokens to the caller exactly once and in order, over several attempts if the
+//! stream breaks.
 
 use std::pin::Pin;
 use std::time::{Duration, Instant};
@@ -18,52 +18,53 @@
 use crate::run::Run;
 use crate::server_sent_events::{Event, EventScanner};
 
-/// Status of the answer that a stream belongs to.
+/// HTTP status of a streamed answer.
 const STREAM_STATUS: u16 = 200;
-/// Time allowed for the end of a body after the end mark.
+/// Timeout for the end of a body after the end marker.
 const BODY_END_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time after the first event of an attempt in which a crash of the back end counts for the request.
-const JUST_BEGUN: Duration = Duration::from_secs(1);
+/// Time after the first event of an attempt during which a crash of the back end is attributed to
+/// the request.
+const CRASH_ATTRIBUTION_WINDOW: Duration = Duration::from_secs(1);
 /// Content type of a stream.
 pub(crate) const EVENT_STREAM: &str = "text/event-stream";
 
-/// A stream on its way to the caller. When it is dropped, the caller is gone.
+/// A stream being relayed to the caller. It is dropped when the caller disconnects.
 pub(crate) struct Relay {
     run: Run,
     response: Option<reqwest::Response>,
     scanner: EventScanner,
     checker: FrameChecker,
     started: Instant,
-    /// When the current attempt has brought its first event.
-    begun_at: Option<tokio::time::Instant>,
-    silence: Pin<Box<Sleep>>,
-    waiting_since: tokio::time::Instant,
-    /// What the caller is told after the bytes it still gets.
-    failed: Option<Refusal>,
+    /// When the first event of the current attempt arrived.
+    first_event_at: Option<tokio::time::Instant>,
+    idle_timer: Pin<Box<Sleep>>,
+    read_started_at: tokio::time::Instant,
+    /// The refusal to send after the bytes that are still pending for the caller.
+    pending_refusal: Option<Refusal>,
     is_finished: bool,
 }
 
-/// What the back end has brought.
-enum Read {
+/// The result of a read from the back end.
+enum ReadResult {
     Chunk(Bytes),
     End(AttemptEnd),
 }
 
 impl Relay {
-    /// Relays the stream whose head has come.
+    /// Creates a relay for a stream whose head was received.
     pub fn new(run: Run, response: reqwest::Response, started: Instant) -> Self {
         let checker = FrameChecker::new(run.attempt());
-        let silence = Box::pin(tokio::time::sleep_until(run.first_token_timer()));
+        let idle_timer = Box::pin(tokio::time::sleep_until(run.first_token_timer()));
         Self {
             run,
             response: Some(response),
             scanner: EventScanner::default(),
             checker,
             started,
-            begun_at: None,
-            silence,
-            waiting_since: tokio::time::Instant::now(),
-            failed: None,
+            first_event_at: None,
+            idle_timer,
+            read_started_at: tokio::time::Instant::now(),
+            pending_refusal: None,
             is_finished: false,
         }
     }
@@ -73,9 +74,9 @@
         self,
         first: Bytes,
     ) -> impl Stream<Item = Result<BytesFrame, std::io::Error>> + Send {
-        // Boxed: the state is moved several times for every chunk.
-        let begun = (Some(first), Box::new(self));
-        futures::stream::unfold(begun, |(first, mut relay)| async move {
+        // Boxed because the state is moved several times per chunk.
+        let state = (Some(first), Box::new(self));
+        futures::stream::unfold(state, |(first, mut relay)| async move {
             let bytes = match first {
                 Some(first) => first,
                 None => relay.next().await?,
@@ -92,23 +93,23 @@
         }
     }
 
-    /// The next bytes for the caller, or `None` after the end. An error if there are none and no
-    /// other attempt follows.
+    /// The next bytes for the caller, or `None` after the end. Returns an error if there are none
+    /// and no other attempt follows.
     pub async fn advance(&mut self) -> Result<Option<Bytes>, Refusal> {
         while !self.is_finished {
-            if let Some(refusal) = self.failed.take() {
+            if let Some(refusal) = self.pending_refusal.take() {
                 return Err(self.finish_refused(refusal));
             }
             if self.response.is_none()
-                && let Err(refusal) = self.open_again().await
+                && let Err(refusal) = self.reopen().await
             {
                 return Err(self.finish_refused(refusal));
             }
             let bytes = match self.read().await {
-                Read::Chunk(chunk) => self.pass_on(chunk),
-                Read::End(end) => {
-                    if self.has_just_begun() {
-                        self.run.note_break(end).await;
+                ReadResult::Chunk(chunk) => self.filter_chunk(chunk),
+                ReadResult::End(end) => {
+                    if self.is_crash_attributed() {
+                        self.run.check_for_crash(end).await;
                     }
                     self.end_attempt(end);
                     continue;
@@ -121,11 +122,11 @@
         Ok(None)
     }
 
-    async fn open_again(&mut self) -> Result<(), Refusal> {
+    async fn reopen(&mut self) -> Result<(), Refusal> {
         let response = self.run.open().await?;
         self.checker.begin(self.run.attempt());
         self.scanner.clear();
-        self.begun_at = None;
+        self.first_event_at = None;
         if !response.status().is_success() {
             return self.run.end(AttemptEnd::Truncated);
         }
@@ -133,67 +134,68 @@
         Ok(())
     }
 
-    /// Whether a crash of the back end now may come of the request. A stream that has gone on for longer is more often
-    /// cut off by the crash that another request has caused.
-    fn has_just_begun(&self) -> bool {
-        self.begun_at
-            .is_none_or(|begun_at| begun_at.elapsed() < JUST_BEGUN)
+    /// Whether a crash of the back end now is attributed to this request. A stream that has run for
+    /// longer is more often cut off by a crash that another request caused.
+    fn is_crash_attributed(&self) -> bool {
+        self.first_event_at
+            .is_none_or(|first_event_at| first_event_at.elapsed() < CRASH_ATTRIBUTION_WINDOW)
     }
 
-    async fn read(&mut self) -> Read {
+    async fn read(&mut self) -> ReadResult {
         let Some(response) = self.response.as_mut() else {
-            return Read::End(AttemptEnd::Truncated);
+            return ReadResult::End(AttemptEnd::Truncated);
         };
-        // Time in which the caller reads nothing is not the back end's.
-        self.waiting_since = tokio::time::Instant::now();
+        // Time during which the caller reads nothing does not count against the back end.
+        self.read_started_at = tokio::time::Instant::now();
         loop {
             tokio::select! {
                 biased;
                 chunk = response.chunk() => {
                     return match chunk {
-                        Ok(Some(chunk)) => Read::Chunk(chunk),
-                        Ok(None) => Read::End(AttemptEnd::Truncated),
-                        Err(_) => Read::End(AttemptEnd::BrokenMidStream {
+                        Ok(Some(chunk)) => ReadResult::Chunk(chunk),
+                        Ok(None) => ReadResult::End(AttemptEnd::Truncated),
+                        Err(_) => ReadResult::End(AttemptEnd::BrokenMidStream {
                             next_index: self.checker.next_index(),
                         }),
                     };
                 }
-                // One timer for the whole stream: set again only when it fires, not per chunk.
-                () = &mut self.silence => {
-                    let mut until = self.waiting_since + self.run.gateway().settings.stream_idle;
+                // One timer for the whole stream, reset only when it fires and not per chunk.
+                () = &mut self.idle_timer => {
+                    let mut until = self.read_started_at + self.run.gateway().settings.stream_idle;
                     if self.checker.next_index() == 0 {
                         until = until.min(self.run.first_token_timer());
                     }
                     if tokio::time::Instant::now() >= until {
-                        return Read::End(AttemptEnd::TimedOut);
+                        return ReadResult::End(AttemptEnd::TimedOut);
                     }
-                    self.silence.as_mut().reset(until);
+                    self.idle_timer.as_mut().reset(until);
                 }
             }
         }
     }
 
-    /// What of a chunk is for the caller.
-    fn pass_on(&mut self, chunk: Bytes) -> Bytes {
+    /// The bytes of a chunk that are forwarded to the caller.
+    fn filter_chunk(&mut self, chunk: Bytes) -> Bytes {
         let before = self.checker.next_index();
-        let mut passed = Passed::default();
-        let verdict = self.scan(chunk, &mut passed);
+        let mut forwarded = ForwardedRanges::default();
+        let verdict = self.scan(chunk, &mut forwarded);
         let after = self.checker.next_index();
         if after > before {
-            self.begun_at.get_or_insert_with(tokio::time::Instant::now);
-            self.run.note_delivered(Delivered::Frames(after));
+            self.first_event_at
+                .get_or_insert_with(tokio::time::Instant::now);
+            self.run.record_delivered(Delivered::Frames(after));
             if before == 0 {
-                counters::first_token(self.started.elapsed());
+                counters::record_first_token(self.started.elapsed());
             }
         }
         if let Err(end) = verdict {
             self.end_attempt(end);
         }
-        passed.into_bytes(&self.scanner)
+        forwarded.into_bytes(&self.scanner)
     }
 
-    /// Reads the events of a chunk. An error if the attempt is to be given up.
-    fn scan(&mut self, chunk: Bytes, passed: &mut Passed) -> Result<(), AttemptEnd> {
+    /// Scans the events of a chunk. Returns an error if the attempt must be abandoned.
+    fn scan(&mut self, chunk: Bytes, forwarded: &mut ForwardedRanges) -> Result<(), AttemptEnd> {
         let attempt = self.run.attempt();
         self.scanner
             .feed(chunk)
@@ -205,7 +207,7 @@
             };
             match event {
                 Event::Token(index) => match self.checker.feed(attempt, index) {
-                    FrameVerdict::Deliver => passed.add(range),
+                    FrameVerdict::Deliver => forwarded.add(range),
                     FrameVerdict::Duplicate | FrameVerdict::Stale => {}
                     FrameVerdict::Gap { .. } => return Err(AttemptEnd::Truncated),
                 },
@@ -214,39 +216,39 @@
                     if self.checker.finish(attempt) != StreamEnd::Complete {
                         return Err(AttemptEnd::Truncated);
                     }
-                    passed.add(range);
+                    forwarded.add(range);
                     self.complete();
                     return Ok(());
                 }
-                Event::Comment => passed.add(range),
+                Event::Comment => forwarded.add(range),
                 Event::Unnumbered => return Err(AttemptEnd::Truncated),
             }
         }
     }
 
-    /// The caller has the whole answer.
+    /// Completes the stream after the caller was given the whole answer.
     fn complete(&mut self) {
         self.is_finished = true;
         if let Some(response) = self.response.take() {
-            free_connection(response);
+            drain_body(response);
         }
-        // The machine takes the answer of its own current attempt.
+        // The state machine always accepts an answer of the current attempt.
         let _ = self.run.answered(STREAM_STATUS);
-        self.run.settle(RequestEnd::Answered {
+        self.run.settle_claim(RequestEnd::Answered {
             status: STREAM_STATUS,
             content_type: EVENT_STREAM.to_owned(),
             body: None,
         });
-        counters::relayed(STREAM_STATUS);
+        counters::count_answer(STREAM_STATUS);
     }
 
-    /// Gives the current attempt up.
+    /// Abandons the current attempt.
     fn end_attempt(&mut self, end: AttemptEnd) {
         self.response = None;
-        self.failed = self.run.end(end).err();
+        self.pending_refusal = self.run.end(end).err();
     }
 
-    /// Ends the stream, with what the caller is told.
+    /// Ends the stream and returns the refusal to send to the caller.
     fn finish_refused(&mut self, refusal: Refusal) -> Refusal {
         self.is_finished = true;
         let has_tokens = self.checker.next_index() > 0;
@@ -254,22 +256,22 @@
             code if code.not_run() && has_tokens => ResultCode::StreamBroken,
             code => code,
         };
-        self.run.settle(RequestEnd::refused(code));
+        self.run.settle_claim(RequestEnd::refused(code));
         Refusal { code, ..refusal }
     }
 
-    /// An error as the last event of a stream.
+    /// The error event that ends a stream.
     fn error_event(&self, refusal: Refusal) -> Bytes {
         let refusal = self.run.gateway().with_retry_after(refusal);
-        counters::refused(refusal.code);
+        counters::count_refusal(refusal.code);
         let json = error_json(&refusal, &self.run.call().request_id);
         format!("event: error\ndata: {json}\n\n").into()
     }
 }
 
-/// Lets the connection be used again. It can be once the body has ended, which many engines send in
-/// a packet of its own after the end mark.
-fn free_connection(mut response: reqwest::Response) {
+/// Reads the body to its end, so that the connection can be reused. Many engines send the end of
+/// the body in a separate packet after the end marker.
+fn drain_body(mut response: reqwest::Response) {
     if let Some(Ok(None)) = response.chunk().now_or_never() {
         return;
     }
@@ -280,18 +282,18 @@
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        counters::streamed(self.checker.next_index());
+        counters::count_stream_events(self.checker.next_index());
     }
 }
 
-/// The parts of a chunk that are passed on, as one range while they touch.
+/// The ranges of a chunk that are forwarded. Adjacent ranges are merged.
 #[derive(Default)]
-struct Passed {
+struct ForwardedRanges {
     ranges: Vec<std::ops::Range<usize>>,
     last: std::ops::Range<usize>,
 }
 
-impl Passed {
+impl ForwardedRanges {
     fn add(&mut self, range: std::ops::Range<usize>) {
         if self.last.end == range.start {
             self.last.end = range.end;
@@ -303,7 +305,7 @@
         }
     }
 
-    /// The parts as one run of bytes, without a copy if they touch.
+    /// The ranges as contiguous bytes, without a copy if they form one range.
     fn into_bytes(self, scanner: &EventScanner) -> Bytes {
         if self.ranges.is_empty() {
             return scanner.slice(self.last);
--- a/crates/gateway/src/remainder.rs
+++ b/crates/gateway/src/remainder.rs
@@ -1,4 +1,4 @@
-//! The rest of an answer that is too long to be held: passed on as it comes.
+//! The rest of an answer that exceeds the buffer limits, forwarded as it arrives.
 
 use bytes::Bytes;
 use flaxward_control::claims::RequestEnd;
@@ -9,22 +9,21 @@
 
 /// The rest of an answer. If it is dropped before its end, the attempt is cancelled.
 pub(crate) struct Remainder {
-    /// The request.
     pub run: Run,
-    /// The answer, after what was held of it.
+    /// The answer, positioned after its buffered part.
     pub response: reqwest::Response,
 }
 
 impl Remainder {
-    /// The body, after `begun`. An error breaks the connection to the caller, so that a truncated
-    /// answer is not taken for a whole one.
+    /// The body: first `buffered`, then the rest. An error breaks the connection to the caller, so
+    /// that a truncated answer is not mistaken for a complete one.
     pub fn into_stream(
         self,
-        begun: Vec<Bytes>,
+        buffered: Vec<Bytes>,
     ) -> impl Stream<Item = Result<BytesFrame, reqwest::Error>> + Send {
-        let state = (begun.into_iter(), self);
-        futures::stream::try_unfold(state, |(mut begun, mut remainder)| async move {
-            let chunk = match begun.next() {
+        let state = (buffered.into_iter(), self);
+        futures::stream::try_unfold(state, |(mut buffered, mut remainder)| async move {
+            let chunk = match buffered.next() {
                 Some(chunk) => Some(chunk),
                 None => remainder.response.chunk().await?,
             };
@@ -32,15 +31,15 @@
                 remainder.complete();
                 return Ok(None);
             };
-            Ok(Some((BytesFrame::data(chunk), (begun, remainder))))
+            Ok(Some((BytesFrame::data(chunk), (buffered, remainder))))
         })
     }
 
     fn complete(mut self) {
         let status = self.response.status().as_u16();
-        // The answer is the caller's already; nothing can follow.
+        // The caller has received the answer, so no retry can follow.
         let _ = self.run.answered(status);
-        self.run.settle(RequestEnd::Answered {
+        self.run.settle_claim(RequestEnd::Answered {
             status,
             content_type: String::new(),
             body: None,
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -1,4 +1,4 @@
-//! The attempts of one request, until it is answered or refused.
+//! Runs the attempts of one request until it is answered or refused.
 
 use std::sync::Arc;
 
@@ -14,15 +14,15 @@
 use tokio_util::task::task_tracker::TaskTrackerToken;
 
 use crate::answer::Answer;
-use crate::attempt::{CancelGuard, Collected, Hold, collect, send};
-use crate::bytes_budget::HeldBytes;
+use crate::attempt::{BufferLimits, CancelGuard, Collected, collect, send};
+use crate::back_end_ticket::BackEndTicket;
+use crate::bytes_budget::ReservedBytes;
 use crate::call::{Call, CallKind, new_attempt};
 use crate::claims::ClaimTicket;
 use crate::counters;
 use crate::crashes::may_be_crash;
 use crate::gateway::{Admitted, Gateway};
 use crate::head::answer_headers;
-use crate::place::Place;
 use crate::registry::Registration;
 use crate::remainder::Remainder;
 use crate::scheduler::BackEnd;
@@ -31,31 +31,30 @@
 pub(crate) struct Run {
     gateway: Arc<Gateway>,
     call: Call,
-    place: Place,
+    ticket: BackEndTicket,
     machine: RequestMachine,
     current: Option<CurrentAttempt>,
-    /// The attempt that a claim names, until it is begun.
+    /// The attempt id recorded in the claim, until that attempt starts.
     first_attempt: Option<AttemptId>,
-    held_bytes: HeldBytes,
+    reserved_bytes: ReservedBytes,
     claim: Option<ClaimTicket>,
     registration: Registration,
     _in_progress: TaskTrackerToken,
 }
 
-/// The attempt that is under way.
+/// The attempt in progress.
 struct CurrentAttempt {
     id: AttemptId,
     back_end: BackEnd,
-    /// Cancels it.
     guard: CancelGuard,
 }
 
 impl Run {
-    /// A request that has not been sent.
+    /// Registers a request that has not been sent.
     pub fn new(
         gateway: Arc<Gateway>,
         call: Call,
-        place: Place,
+        ticket: BackEndTicket,
         claim: Option<ClaimTicket>,
         admitted: Admitted,
     ) -> Self {
@@ -69,10 +68,10 @@
         let machine = RequestMachine::new(call.policy, gateway.settings.attempts);
         Self {
             first_attempt: Some(call.first_attempt),
-            held_bytes: admitted.held_bytes,
+            reserved_bytes: admitted.reserved_bytes,
             gateway,
             call,
-            place,
+            ticket,
             machine,
             current: None,
             claim,
@@ -81,50 +80,53 @@
         }
     }
 
-    /// Records the end of the request in its claim, if it has one.
-    pub fn settle(&mut self, end: RequestEnd) {
+    /// Records the outcome of the request in its claim, if it has one.
+    pub fn settle_claim(&mut self, end: RequestEnd) {
         if let Some(claim) = self.claim.take() {
             claim.end(end);
         }
     }
 
-    /// The current attempt.
+    /// The id of the current attempt, or of the first one if none has started.
     pub fn attempt(&self) -> AttemptId {
         self.current
             .as_ref()
             .map_or(self.call.first_attempt, |current| current.id)
     }
 
-    /// The gateway.
     pub fn gateway(&self) -> &Arc<Gateway> {
         &self.gateway
     }
 
-    /// The request.
     pub fn call(&self) -> &Call {
         &self.call
     }
 
-    /// Notes what the caller has received.
-    pub fn note_delivered(&mut self, delivered: Delivered) {
+    /// Records what the caller has received.
+    pub fn record_delivered(&mut self, delivered: Delivered) {
         let attempt = self.attempt();
         self.machine.record_delivered(attempt, delivered);
     }
 
-    /// Sends the request until a back end answers with the head of an answer.
+    /// Sends attempts until a back end returns the head of an answer.
     pub async fn open(&mut self) -> Result<reqwest::Response, Refusal> {
         loop {
             let back_end = match self.back_end().await {
                 Ok(back_end) => back_end,
-                Err(refusal) => return Err(self.give_up(refusal)),
+                Err(refusal) => return Err(self.no_back_end_refusal(refusal)),
             };
             let attempt = self.next_attempt();
             let gateway = Arc::clone(&self.gateway);
             let now = gateway.clock.now();
             self.machine
-                .begin(attempt, back_end.runner.clone(), now, &mut gateway.budget())
+                .begin(
+                    attempt,
+                    back_end.runner.clone(),
+                    now,
+                    &mut gateway.retry_budget(),
+                )
                 .map_err(Refusal::new)?;
-            counters::attempted();
+            counters::count_attempt();
             self.registration.sent_to(&back_end.runner);
             let guard = CancelGuard::new(&gateway.http, &self.call, &back_end, attempt);
             self.current = Some(CurrentAttempt {
@@ -145,61 +147,65 @@
             match sent.await {
                 Ok(response) => return Ok(response),
                 Err(end) => {
-                    self.note_break(end).await;
+                    self.check_for_crash(end).await;
                     self.end(end)?;
                 }
             }
         }
     }
 
-    /// Waits for a back end. A request that is in quarantine, or put there meanwhile, gets none.
+    /// Waits for a back end. A request that is quarantined, before or during the wait, is refused.
     async fn back_end(&mut self) -> Result<BackEnd, Refusal> {
         let Self {
             gateway,
             call,
-            place,
+            ticket,
             ..
         } = self;
         tokio::select! {
             biased;
-            refusal = gateway.crashes.until_quarantined(call) => Err(refusal),
-            back_end = place.back_end() => back_end,
+            refusal = gateway.crashes.wait_until_quarantined(call) => Err(refusal),
+            back_end = ticket.back_end() => back_end,
         }
     }
 
-    /// Finds out whether the current back end has crashed, if the attempt ended in a way that makes it possible.
-    pub async fn note_break(&self, end: AttemptEnd) {
+    /// Checks whether the current back end has crashed, if the attempt ended in a way that a crash
+    /// can cause.
+    pub async fn check_for_crash(&self, end: AttemptEnd) {
         let Some(current) = self.current.as_ref().filter(|_| may_be_crash(end)) else {
             return;
         };
         let crashes = &self.gateway.crashes;
-        crashes.note_break(&self.call, &current.back_end).await;
+        crashes.check_for_crash(&self.call, &current.back_end).await;
     }
 
-    /// Sends the request until a whole answer has come, or one too long to be held.
-    pub async fn whole(&mut self) -> Result<Held, Refusal> {
+    /// Sends attempts until an answer is complete or exceeds the buffer limits.
+    pub async fn fetch_answer(&mut self) -> Result<BufferedAnswer, Refusal> {
         loop {
             let response = self.open().await?;
-            if let Some(held) = self.hold(response).await? {
-                return Ok(held);
+            if let Some(buffered) = self.buffer_answer(response).await? {
+                return Ok(buffered);
             }
         }
     }
 
-    /// Reads the answer whose head has come. `None` if the request is to be sent again.
-    pub async fn hold(&mut self, response: reqwest::Response) -> Result<Option<Held>, Refusal> {
+    /// Reads the body of an answer whose head was received. `None` if the request must be retried.
+    pub async fn buffer_answer(
+        &mut self,
+        response: reqwest::Response,
+    ) -> Result<Option<BufferedAnswer>, Refusal> {
         let status = response.status();
         let headers = answer_headers(response.headers(), &self.call.method);
         let until = self.gateway.clock.instant(self.call.deadline);
-        let hold = Hold {
+        let limits = BufferLimits {
             limit: self.gateway.settings.answer_hold,
-            budget: &self.gateway.bytes,
-            held: &mut self.held_bytes,
+            budget: &self.gateway.byte_budget,
+            reserved: &mut self.reserved_bytes,
         };
-        let collected = match collect(response, hold, until).await {
+        let collected = match collect(response, limits, until).await {
             Ok(collected) => collected,
             Err(end) => {
-                self.note_break(end).await;
+                self.check_for_crash(end).await;
                 self.end(end)?;
                 return Ok(None);
             }
@@ -209,59 +215,60 @@
             return Ok(None);
         }
         if collected.rest.is_some() {
-            self.note_delivered(Delivered::Bytes);
+            self.record_delivered(Delivered::Bytes);
         } else if !self.answered(status.as_u16())? {
             return Ok(None);
         }
-        Ok(Some(Held {
+        Ok(Some(BufferedAnswer {
             status,
             headers,
             collected,
         }))
     }
 
-    /// Whether an engine's whole answer is not what it says. A document cut off in its middle can
-    /// come under a length that fits.
+    /// Whether a complete answer of an engine has a JSON content type but is not valid JSON. The
+    /// stated length does not show this: a truncated document can have a matching length.
     fn is_malformed(&self, status: StatusCode, headers: &HeaderMap, body: &Collected) -> bool {
-        let says_json = headers
+        let has_json_content_type = headers
             .get(CONTENT_TYPE)
             .is_some_and(|value| value.as_bytes().starts_with(b"application/json"));
         self.call.kind == CallKind::Engine
             && status.is_success()
-            && says_json
+            && has_json_content_type
             && body.rest.is_none()
             && !is_json(&body.chunks)
     }
 
-    /// Notes that the current attempt has brought a whole answer. Returns whether it is the
-    /// caller's; otherwise the request is to be sent again.
+    /// Records that the current attempt returned a complete answer. Returns whether that answer is
+    /// for the caller; otherwise the request must be retried.
     pub fn answered(&mut self, status: u16) -> Result<bool, Refusal> {
         match self.step(AttemptEnd::Status(status)) {
             Step::Done => Ok(true),
             step => self
-                .follow(&step, AttemptEnd::Status(status))
+                .apply_step(&step, AttemptEnd::Status(status))
                 .map(|()| false),
         }
     }
 
-    /// Notes the end of the current attempt. An error if the request is not sent again.
+    /// Records the end of the current attempt. Returns an error if the request is not retried.
     pub fn end(&mut self, end: AttemptEnd) -> Result<(), Refusal> {
-        if end == AttemptEnd::TimedOut && self.is_too_late() {
+        if end == AttemptEnd::TimedOut && self.is_past_deadline() {
             self.step(AttemptEnd::Cancelled);
             return Err(Refusal::new(ResultCode::DeadlineWhileRunning));
         }
         let step = self.step(end);
         if self.may_queue_again(&step, end) {
             self.machine = RequestMachine::new(self.call.policy, self.gateway.settings.attempts);
-            self.place.give_back(fault(end), self.call.deadline);
+            self.ticket
+                .return_back_end(back_end_fault(end), self.call.deadline);
             return Ok(());
         }
-        self.follow(&step, end)
+        self.apply_step(&step, end)
     }
 
-    /// Whether the request waits for another replica although it was tried often enough. It has
-    /// certainly not run, the runner is left alone for a while, and the coordinator will show
-    /// another; until the deadline that is better than a refusal.
+    /// Whether the request is queued for another replica although it has used all its attempts. It
+    /// has definitely not run, the failed runner is avoided for a while, and the coordinator will
+    /// offer another one; until the deadline, waiting is better than a refusal.
     fn may_queue_again(&self, step: &Step, end: AttemptEnd) -> bool {
         self.call.kind == CallKind::Engine
             && matches!(step, Step::Finish(code) if code.not_run())
@@ -274,7 +281,7 @@
             return Step::Stale;
         };
         if end.has_completed() {
-            self.gateway.crashes.note_completed(&self.call);
+            self.gateway.crashes.record_completed(&self.call);
         }
         let may_be_running = matches!(
             end,
@@ -289,17 +296,17 @@
         }
         let now = self.gateway.clock.now();
         self.machine
-            .on_end(current.id, end, now, &mut self.gateway.budget())
+            .on_end(current.id, end, now, &mut self.gateway.retry_budget())
     }
 
-    fn follow(&mut self, step: &Step, end: AttemptEnd) -> Result<(), Refusal> {
+    fn apply_step(&mut self, step: &Step, end: AttemptEnd) -> Result<(), Refusal> {
         match step {
             Step::Retry { resume_from, .. } => {
                 let deadline = match resume_from {
                     Some(_) => self.gateway.clock.now() + self.gateway.settings.stream_resume_wait,
                     None => self.call.deadline,
                 };
-                self.place.give_back(fault(end), deadline);
+                self.ticket.return_back_end(back_end_fault(end), deadline);
                 Ok(())
             }
             Step::Finish(code) => Err(Refusal::new(*code)),
@@ -308,18 +315,18 @@
     }
 
     /// Whether the deadline has passed before the caller has received anything.
-    fn is_too_late(&self) -> bool {
+    fn is_past_deadline(&self) -> bool {
         let is_late = self.gateway.clock.now() >= self.call.deadline;
         is_late && self.machine.delivered() == Delivered::Nothing
     }
 
-    /// Until when the first token of a stream must come.
+    /// When the wait for the first token of a stream times out.
     pub fn first_token_timer(&self) -> Instant {
         let idle = Instant::now() + self.gateway.settings.stream_idle;
         idle.min(self.gateway.clock.instant(self.call.deadline))
     }
 
-    /// Until when the head of an answer must come.
+    /// When the wait for the head of an answer times out.
     fn head_timer(&self) -> Instant {
         if self.machine.delivered() == Delivered::Nothing {
             return self.gateway.clock.instant(self.call.deadline);
@@ -331,8 +338,9 @@
         self.first_attempt.take().unwrap_or_else(new_attempt)
     }
 
-    /// The refusal of a request that finds no back end: "not run" only if that is certain.
-    fn give_up(&mut self, refusal: Refusal) -> Refusal {
+    /// The refusal of a request that finds no back end. It says "not run" only if the request has
+    /// definitely not run.
+    fn no_back_end_refusal(&mut self, refusal: Refusal) -> Refusal {
         let code = self.machine.give_up(refusal.code);
         if code == refusal.code {
             return refusal;
@@ -341,8 +349,8 @@
     }
 }
 
-/// Runs a request without frames to its end. A claimed one is run to its end even if the caller
-/// goes, so that its outcome is recorded.
+/// Runs a request without streaming. A claimed request runs to its end even if the caller
+/// disconnects, so that its outcome is recorded.
 pub(crate) async fn finish(run: Run) -> Result<Answer, Refusal> {
     if run.claim.is_none() {
         return answer_whole(run).await;
@@ -353,27 +361,27 @@
 }
 
 async fn answer_whole(mut run: Run) -> Result<Answer, Refusal> {
-    match run.whole().await {
-        Ok(held) => Ok(held.into_answer(run)),
+    match run.fetch_answer().await {
+        Ok(buffered) => Ok(buffered.into_answer(run)),
         Err(refusal) => {
-            run.settle(RequestEnd::refused(refusal.code));
+            run.settle_claim(RequestEnd::refused(refusal.code));
             Err(refusal)
         }
     }
 }
 
-/// The answer that is the caller's, as far as it is held.
-pub(crate) struct Held {
+/// The answer for the caller, as far as it is buffered.
+pub(crate) struct BufferedAnswer {
     status: StatusCode,
     headers: HeaderMap,
     collected: Collected,
 }
 
-impl Held {
-    /// The answer to the caller. Records what became of the claim.
+impl BufferedAnswer {
+    /// Converts it into the answer to the caller. If it is complete, records it in the claim.
     pub fn into_answer(self, mut run: Run) -> Answer {
         if self.collected.rest.is_none() {
-            run.settle(self.request_end());
+            run.settle_claim(self.request_end());
         }
         let rest = self.collected.rest;
         let rest = rest.map(|response| Remainder { run, response });
@@ -398,7 +406,8 @@
     }
 }
 
-/// Whether chunks make one whole document. Most answers are a single chunk, which is read in place.
+/// Whether the chunks form one JSON document. Most answers are a single chunk, which is parsed in
+/// place.
 fn is_json(chunks: &[Bytes]) -> bool {
     let read = match chunks {
         [whole] => serde_json::from_slice::<IgnoredAny>(whole),
@@ -407,7 +416,7 @@
     read.is_ok()
 }
 
-fn fault(end: AttemptEnd) -> BackEndFault {
+fn back_end_fault(end: AttemptEnd) -> BackEndFault {
     match end {
         AttemptEnd::NotSent => BackEndFault::Unreachable,
         AttemptEnd::RefusedBeforeRunning => BackEndFault::Refused,
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! Drives [`Admission`]: one lock around it, one channel per waiting request.
+//! Runs [`Admission`] behind a lock, with one channel per waiting request.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -25,10 +25,10 @@
     pub address: String,
 }
 
-/// What became of a waiting request.
+/// The decision on a waiting request.
 type Decision = Result<BackEnd, Refusal>;
 
-/// Admission with the channels of those who wait.
+/// Admission and the channels of the waiting requests.
 pub(crate) struct Scheduler {
     state: Mutex<State>,
     demands: DemandSender,
@@ -42,7 +42,7 @@
 }
 
 impl Scheduler {
-    /// A scheduler around an admission.
+    /// Creates a scheduler for an admission.
     pub fn new(admission: Admission, demands: DemandSender, clock: Clock) -> Self {
         Self {
             state: Mutex::new(State {
@@ -55,13 +55,12 @@
         }
     }
 
-    /// The admission and its waiters. No code that holds the lock can panic half-way through a
-    /// change, so a poisoned lock is still usable.
+    /// No code that holds the lock can panic during a change, so a poisoned lock is still usable.
     fn lock(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes an event from outside.
+    /// Handles an external event.
     pub fn handle(&self, event: AdmissionEvent) {
         let mut state = self.lock();
         self.apply(&mut state, event);
@@ -76,9 +75,9 @@
                     request,
                     runner,
                     address,
-                } => decide(state, request, Ok(BackEnd { runner, address })),
+                } => deliver_decision(state, request, Ok(BackEnd { runner, address })),
                 AdmissionAction::Refuse { request, refusal } => {
-                    decide(state, request, Err(refusal));
+                    deliver_decision(state, request, Err(refusal));
                 }
                 AdmissionAction::SendDemand { zone, demand } => {
                     demands.entry(zone).or_default().push(demand);
@@ -86,29 +85,29 @@
             }
         }
         for message in demands {
-            // Without a receiver the daemon is on its way out.
+            // Fails only if the receiver is dropped, which happens when the daemon shuts down.
             let _ = self.demands.send(message);
         }
     }
 
-    /// Looks at deadlines and demands.
+    /// Checks deadlines and demands.
     pub fn tick(&self) {
         let mut state = self.lock();
         self.apply(&mut state, AdmissionEvent::Tick);
-        counters::occupancy(state.admission.waiting(), state.admission.running());
+        counters::set_occupancy(state.admission.waiting(), state.admission.running());
     }
 
-    /// How each artifact stands.
+    /// The state of each artifact.
     pub fn views(&self) -> Vec<ArtifactView> {
         self.lock().admission.views(self.clock.now())
     }
 
-    /// Takes a request in; `arrival` makes the arrival from its number.
-    pub fn enter(self: &Arc<Self>, arrival: impl FnOnce(RequestId) -> Arrival) -> Ticket {
+    /// Queues a request. `arrival` builds the arrival from the id assigned to the request.
+    pub fn enqueue(self: &Arc<Self>, arrival: impl FnOnce(RequestId) -> Arrival) -> Ticket {
         let mut state = self.lock();
         let request = RequestId(state.next_request);
         state.next_request += 1;
-        let decision = self.ask(
+        let decision = self.submit(
             &mut state,
             request,
             AdmissionEvent::Arrive(arrival(request)),
@@ -121,7 +120,7 @@
         }
     }
 
-    fn ask(
+    fn submit(
         &self,
         state: &mut State,
         request: RequestId,
@@ -134,14 +133,14 @@
     }
 }
 
-fn decide(state: &mut State, request: RequestId, decision: Decision) {
+fn deliver_decision(state: &mut State, request: RequestId, decision: Decision) {
     if let Some(waiter) = state.waiters.remove(&request) {
-        // If nobody listens, the ticket is being dropped and reports that the caller is gone.
+        // Fails only if the ticket is being dropped, which reports the caller as gone.
         let _ = waiter.send(decision);
     }
 }
 
-/// One request's place in the admission. When it is dropped, the request has ended.
+/// The entry of one request in the admission. Dropping it ends the request.
 pub(crate) struct Ticket {
     scheduler: Arc<Scheduler>,
     request: RequestId,
@@ -149,7 +148,7 @@
 }
 
 impl Ticket {
-    /// Waits for a back end or a refusal, after arrival and after each return.
+    /// Waits for a back end or a refusal, once after arrival and once after each return.
     pub async fn back_end(&mut self) -> Decision {
         let Some(decision) = self.decision.take() else {
             return Err(Refusal::new(ResultCode::Internal));
@@ -159,15 +158,15 @@
             .unwrap_or_else(|_| Err(Refusal::new(ResultCode::Internal)))
     }
 
-    /// Asks for another back end.
-    pub fn give_back(&mut self, fault: BackEndFault, deadline: Timestamp) {
+    /// Returns the back end after a fault and asks for another one.
+    pub fn return_back_end(&mut self, fault: BackEndFault, deadline: Timestamp) {
         let mut state = self.scheduler.lock();
         let event = AdmissionEvent::Returned {
             request: self.request,
             fault,
             deadline,
         };
-        let decision = self.scheduler.ask(&mut state, self.request, event);
+        let decision = self.scheduler.submit(&mut state, self.request, event);
         drop(state);
         self.decision = Some(decision);
     }
--- a/crates/gateway/src/server_sent_events.rs
+++ b/crates/gateway/src/server_sent_events.rs
@@ -1,23 +1,24 @@
-//! Finds the events in a stream of server-sent events (WHATWG HTML, section 9.2) without decoding
-//! them. Only the `id` field, which carries the token's index, and the end mark `[DONE]` are read.
+//! Scanner for streams of server-sent events (WHATWG HTML, section 9.2). It finds event boundaries
+//! without decoding the data, and parses only the `id` field, which carries the token index, and
+//! the end marker `[DONE]`.
 
 use std::ops::Range;
 
 use bytes::{Bytes, BytesMut};
 use thiserror::Error;
 
-/// Longest event accepted, in bytes.
+/// Maximum length of an event, in bytes.
 const MAX_EVENT_BYTES: usize = 1 << 20;
-/// Data of the last event of an answer.
-const END_MARK: &[u8] = b"[DONE]";
+/// Data of the event that ends an answer.
+const END_MARKER: &[u8] = b"[DONE]";
 
-/// Digits of an index that certainly fits into 64 bits.
-const MAX_PLAIN_DIGITS: usize = 19;
+/// Maximum number of digits that cannot overflow 64 bits.
+const MAX_FAST_PATH_DIGITS: usize = 19;
 
-/// Why bytes are not a stream of events.
+/// Error for a malformed stream of events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum EventError {
-    /// An event is longer than accepted.
+    /// An event exceeds the maximum length.
     #[error("an event is longer than {MAX_EVENT_BYTES} bytes")]
     TooLong,
     /// The `id` field is not a number.
@@ -25,40 +26,40 @@
     BadIndex,
 }
 
-/// What an event is.
+/// The kind of an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
     /// A token with its index.
     Token(u64),
-    /// The end mark.
+    /// The end marker.
     End,
     /// Data without an index.
     Unnumbered,
-    /// A comment, such as one that keeps the connection alive.
+    /// A comment, such as a keep-alive.
     Comment,
 }
 
-/// Finds whole events in chunks as they arrive.
+/// Finds complete events in chunks as they arrive.
 #[derive(Clone, Debug, Default)]
 pub struct EventScanner {
-    /// The chunk, after the start of an event that former chunks left.
+    /// The current chunk, preceded by the incomplete event of earlier chunks.
     buffer: Bytes,
-    /// Where the current event starts.
+    /// Offset at which the current event starts.
     event_start: usize,
-    /// Where the current line starts.
+    /// Offset at which the current line starts.
     line_start: usize,
-    fields: Fields,
+    fields: EventFields,
 }
 
-/// What the lines of the current event have said so far.
+/// The fields of the current event parsed so far.
 #[derive(Clone, Copy, Debug, Default)]
-struct Fields {
+struct EventFields {
     index: Option<u64>,
     has_data: bool,
     is_end: bool,
 }
 
-impl Fields {
+impl EventFields {
     fn event(self) -> Event {
         match self.index {
             _ if self.is_end => Event::End,
@@ -70,15 +71,15 @@
 }
 
 impl EventScanner {
-    /// Forgets everything, such as before the stream of another attempt.
+    /// Resets the scanner, for example before the stream of another attempt.
     pub fn clear(&mut self) {
         *self = Self::default();
     }
 
-    /// Takes the next chunk. All whole events of the former one must have been read.
+    /// Adds the next chunk. All complete events of the previous one must have been read.
     ///
     /// # Errors
-    /// Fails if the event begun by former chunks is longer than accepted.
+    /// Fails if the incomplete event of earlier chunks exceeds the maximum length.
     pub fn feed(&mut self, chunk: Bytes) -> Result<(), EventError> {
         let rest = self.buffer.split_off(self.event_start);
         self.line_start -= self.event_start;
@@ -97,14 +98,14 @@
         Ok(())
     }
 
-    /// The next whole event and its place in the chunk.
+    /// The next complete event and its range in the buffer.
     ///
     /// # Errors
     /// Fails if the event has an index that is not a number.
     pub fn next_event(&mut self) -> Result<Option<(Range<usize>, Event)>, EventError> {
         let is_between_events = self.line_start == self.event_start;
         if is_between_events
-            && let Some((length, index)) = plain_token(&self.buffer[self.event_start..])
+            && let Some((length, index)) = parse_token_fast(&self.buffer[self.event_start..])
         {
             self.line_start += length;
             let range = self.event_start..self.line_start;
@@ -128,24 +129,24 @@
         let range = self.event_start..self.line_start;
         let event = self.fields.event();
         self.event_start = self.line_start;
-        self.fields = Fields::default();
+        self.fields = EventFields::default();
         (range, event)
     }
 
-    /// Part of the chunk, without a copy.
+    /// A range of the buffer, without a copy.
     pub fn slice(&self, range: Range<usize>) -> Bytes {
         self.buffer.slice(range)
     }
 }
 
-/// Reads a token in the form in which nearly all come: the lines `id: INDEX` and `data: {...}` and a
-/// blank one, all there. Gives its length and index. `None` sends the bytes the general way, which
-/// gives the same for such a token and costs several times as much.
-fn plain_token(bytes: &[u8]) -> Option<(usize, u64)> {
+/// Fast path for the form of nearly all tokens: the lines `id: INDEX` and `data: {...}` and a blank
+/// line, all in the buffer. Returns the length and the index. On `None` the bytes go through the
+/// general parser, which gives the same result for such a token at several times the cost.
+fn parse_token_fast(bytes: &[u8]) -> Option<(usize, u64)> {
     let after_name = bytes.strip_prefix(b"id: ")?;
     let digits = after_name
         .iter()
-        .take(MAX_PLAIN_DIGITS)
+        .take(MAX_FAST_PATH_DIGITS)
         .take_while(|byte| byte.is_ascii_digit())
         .count();
     if digits == 0 {
@@ -165,10 +166,10 @@
     line.strip_suffix(b"\r").unwrap_or(line)
 }
 
-fn read_line(line: &[u8], fields: &mut Fields) -> Result<(), EventError> {
+fn read_line(line: &[u8], fields: &mut EventFields) -> Result<(), EventError> {
     if let Some(data) = line.strip_prefix(b"data:") {
         fields.has_data = true;
-        fields.is_end |= data.trim_ascii_start() == END_MARK;
+        fields.is_end |= data.trim_ascii_start() == END_MARKER;
     } else if let Some(id) = line.strip_prefix(b"id:") {
         fields.index = Some(parse_index(id.trim_ascii_start())?);
     }
--- a/crates/gateway/src/service_pool.rs
+++ b/crates/gateway/src/service_pool.rs
@@ -1,4 +1,4 @@
-//! The machines of plain services: which of them takes a request, and who waits for one.
+//! Machine selection and request queues for plain services.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,16 +15,16 @@
 
 use crate::scheduler::BackEnd;
 
-/// Requests waiting for one service, at most.
+/// Maximum number of requests waiting for one service.
 const MAX_WAITING: usize = 1_024;
 
-/// How long a machine that could not be reached is used only if there is no other.
+/// Time for which an unreachable machine is used only if there is no other.
 const UNREACHABLE_PERIOD: Duration = Duration::from_secs(2);
 
-/// Order of those who wait: higher priority first, then first come.
+/// Order of waiting requests: higher priority first, then first in, first out.
 type Rank = (Reverse<u8>, u64);
 
-/// All machines of services.
+/// The machines of all services.
 pub(crate) struct ServicePool {
     state: Mutex<State>,
     clock: Clock,
@@ -33,7 +33,7 @@
 
 struct State {
     router: Router,
-    /// Machines that could not be reached, and until when they are avoided.
+    /// Unreachable machines, and until when they are avoided.
     unreachable: BTreeMap<RunnerName, Timestamp>,
     services: BTreeMap<ServiceName, Service>,
     next_ticket: u64,
@@ -53,7 +53,7 @@
 }
 
 impl ServicePool {
-    /// A pool without machines, at a daemon of this zone.
+    /// Creates a pool without machines for a daemon in this zone.
     pub fn new(zone: Option<ZoneName>, clock: Clock, seed: u64) -> Self {
         Self {
             state: Mutex::new(State {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// See the note on the lock of the scheduler.
+    /// No code that holds the lock can panic during a change, so a poisoned lock is still usable.
     fn lock(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -95,18 +95,18 @@
                 service.other_zones.push(replica);
             }
         }
-        state.serve_all(self.clock.now());
+        state.dispatch_all(self.clock.now());
     }
 
-    /// Replaces the set of machines that take no new work.
+    /// Replaces the set of machines that accept no new work.
     pub fn set_leaving(&self, leaving: BTreeSet<RunnerName>) {
         let mut state = self.lock();
         state.router.set_leaving(leaving);
-        state.serve_all(self.clock.now());
+        state.dispatch_all(self.clock.now());
     }
 
-    /// A request's place in the pool.
-    pub fn enter(
+    /// Creates the ticket of a request.
+    pub fn issue_ticket(
         self: &Arc<Self>,
         service: ServiceName,
         concurrency: u32,
@@ -131,7 +131,7 @@
 }
 
 impl State {
-    /// Chooses a machine with a free place: own zone first, avoided ones last.
+    /// Chooses a machine below its concurrency limit: own zone first, avoided ones last.
     fn choose(
         &mut self,
         name: &ServiceName,
@@ -174,14 +174,14 @@
         })
     }
 
-    fn serve_all(&mut self, now: Timestamp) {
+    fn dispatch_all(&mut self, now: Timestamp) {
         let services: Vec<ServiceName> = self.services.keys().cloned().collect();
         for service in services {
-            self.serve_waiters(&service, now);
+            self.dispatch_waiters(&service, now);
         }
     }
 
-    fn serve_waiters(&mut self, name: &ServiceName, now: Timestamp) {
+    fn dispatch_waiters(&mut self, name: &ServiceName, now: Timestamp) {
         while let Some((rank, waiter)) = self.pop_waiter(name) {
             let Some(back_end) = self.choose(name, &waiter.avoided, now) else {
                 if let Some(service) = self.services.get_mut(name) {
@@ -201,7 +201,7 @@
     }
 }
 
-/// One request's place in the pool. When it is dropped, the request has ended.
+/// The entry of one request in the pool. Dropping it ends the request.
 pub(crate) struct ServiceTicket {
     pool: Arc<ServicePool>,
     service: ServiceName,
@@ -213,24 +213,24 @@
 
 enum Current {
     Waiting(oneshot::Receiver<BackEnd>),
-    At(RunnerName),
+    Assigned(RunnerName),
 }
 
 impl ServiceTicket {
     /// Waits for a machine, until the deadline.
     pub async fn back_end(&mut self) -> Result<BackEnd, Refusal> {
-        let receiver = match self.try_now()? {
+        let receiver = match self.try_acquire()? {
             Ok(back_end) => return Ok(back_end),
             Err(receiver) => receiver,
         };
         let receiver = match self.current.insert(Current::Waiting(receiver)) {
             Current::Waiting(receiver) => receiver,
-            Current::At(_) => return Err(Refusal::new(ResultCode::Internal)),
+            Current::Assigned(_) => return Err(Refusal::new(ResultCode::Internal)),
         };
         let until = self.pool.clock.instant(self.deadline);
         match tokio::time::timeout_at(until, receiver).await {
             Ok(Ok(back_end)) => {
-                self.current = Some(Current::At(back_end.runner.clone()));
+                self.current = Some(Current::Assigned(back_end.runner.clone()));
                 Ok(back_end)
             }
             Ok(Err(_)) => Err(Refusal::new(ResultCode::Internal)),
@@ -238,11 +238,11 @@
         }
     }
 
-    /// A machine, or the channel on which one will come.
-    fn try_now(&mut self) -> Result<Result<BackEnd, oneshot::Receiver<BackEnd>>, Refusal> {
+    /// Returns a machine, or queues the request and returns the channel that will deliver one.
+    fn try_acquire(&mut self) -> Result<Result<BackEnd, oneshot::Receiver<BackEnd>>, Refusal> {
         let mut state = self.pool.lock();
         if let Some(back_end) = state.choose(&self.service, &self.avoided, self.pool.clock.now()) {
-            self.current = Some(Current::At(back_end.runner.clone()));
+            self.current = Some(Current::Assigned(back_end.runner.clone()));
             return Ok(Ok(back_end));
         }
         if !state.has_machine(&self.service) {
@@ -261,9 +261,9 @@
         Ok(Err(receiver))
     }
 
-    /// Gives a machine back and avoids it from now on, if there is another.
-    pub fn give_back(&mut self, fault: BackEndFault) {
-        if let Some(Current::At(runner)) = self.current.take() {
+    /// Returns the machine after a fault and avoids it from now on, if there is another.
+    pub fn return_back_end(&mut self, fault: BackEndFault) {
+        if let Some(Current::Assigned(runner)) = self.current.take() {
             if fault == BackEndFault::Unreachable {
                 let until = self.pool.clock.now() + UNREACHABLE_PERIOD;
                 self.pool.lock().unreachable.insert(runner.clone(), until);
@@ -276,7 +276,7 @@
     fn release(&self, runner: &RunnerName) {
         let mut state = self.pool.lock();
         state.router.record_end(runner);
-        state.serve_waiters(&self.service, self.pool.clock.now());
+        state.dispatch_waiters(&self.service, self.pool.clock.now());
     }
 }
 
@@ -284,7 +284,7 @@
     fn drop(&mut self) {
         match self.current.take() {
             None => {}
-            Some(Current::At(runner)) => self.release(&runner),
+            Some(Current::Assigned(runner)) => self.release(&runner),
             Some(Current::Waiting(mut receiver)) => {
                 if let Some(service) = self.pool.lock().services.get_mut(&self.service) {
                     service.waiters.remove(&self.rank);
--- a/crates/gateway/src/services.rs
+++ b/crates/gateway/src/services.rs
@@ -1,4 +1,4 @@
-//! `/services/{name}/{**path}`: plain services, any method.
+//! `/services/{name}/{**path}`: requests to plain services, with any method.
 
 use std::sync::{Arc, OnceLock};
 
@@ -6,15 +6,15 @@
 use flaxward_types::{Refusal, ResultCode, ServiceName};
 use salvo::prelude::{Request, Response};
 
+use crate::back_end_ticket::BackEndTicket;
 use crate::body::read_body;
 use crate::call::{Call, CallKind, new_attempt};
-use crate::endpoint::{Endpoint, Received};
-use crate::gateway::{Gateway, Reply};
+use crate::endpoint::{Endpoint, IncomingRequest};
+use crate::gateway::{ClaimOutcome, Gateway};
 use crate::head::{back_end_headers, is_safe};
-use crate::place::Place;
 use crate::run::{Run, finish};
 
-/// Path under which all services stand.
+/// Path prefix of all services.
 pub(crate) const SERVICES_PREFIX: &str = "/services/";
 
 /// Handles requests to plain services.
@@ -28,11 +28,11 @@
         response: &mut Response,
         request_id: &str,
     ) -> Result<(), Refusal> {
-        let Received {
+        let IncomingRequest {
             mut admitted,
             head,
             deadline,
-        } = Received::new(gateway, request, request_id)?;
+        } = IncomingRequest::new(gateway, request, request_id)?;
         let (service, path) = split_path(request.uri().path())?;
         let configuration = gateway.configuration().await?;
         let spec = configuration
@@ -44,7 +44,7 @@
         };
         let method = request.method().clone();
         let headers = back_end_headers(request.headers(), &head);
-        let body = read_body(request, gateway, &mut admitted.held_bytes).await?;
+        let body = read_body(request, gateway, &mut admitted.reserved_bytes).await?;
         let call = Call {
             kind: CallKind::Service,
             target: service.to_string(),
@@ -64,24 +64,24 @@
             fingerprint: OnceLock::new(),
         };
         let claim = match gateway.claim(&call, &head, service.as_str()).await? {
-            Reply::Proceed(claim) => claim,
-            Reply::Recorded(answer) => {
+            ClaimOutcome::Proceed(claim) => claim,
+            ClaimOutcome::Recorded(answer) => {
                 answer.write(response);
                 return Ok(());
             }
         };
         let pool = &gateway.service_pool;
-        let ticket = pool.enter(service, spec.concurrency, head.priority, deadline);
-        let place = Place::Service(ticket);
+        let ticket = pool.issue_ticket(service, spec.concurrency, head.priority, deadline);
+        let ticket = BackEndTicket::Service(ticket);
         let gateway = Arc::clone(gateway);
-        let run = Run::new(gateway, call, place, claim, admitted);
+        let run = Run::new(gateway, call, ticket, claim, admitted);
         let answer = finish(run).await?;
         answer.write(response);
         Ok(())
     }
 }
 
-/// The service and the rest of the path, as the caller wrote it.
+/// Splits a path into the service and the rest of the path, which stays as the caller wrote it.
 fn split_path(path: &str) -> Result<(ServiceName, &str), Refusal> {
     let unknown = || Refusal::new(ResultCode::UnknownPath);
     let path = path.strip_prefix(SERVICES_PREFIX).ok_or_else(unknown)?;
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -13,55 +13,56 @@
 use socket2::SockRef;
 use tokio::net::TcpListener;
 
-/// Time allowed for the headers of a request to arrive.
+/// Timeout for receiving the headers of a request.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Limits and durations of the callers' interface. The defaults are those of the settings file.
+/// Limits and timeouts of the API for callers. The defaults are those of the settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GatewaySettings {
-    /// The zones known at the start, the daemon's own first.
+    /// The zones known at startup, the zone of the daemon first.
     pub zones: Vec<ZoneName>,
-    /// Longest body of a request, in bytes.
+    /// Maximum body size of a request, in bytes.
     pub body_limit: usize,
-    /// Longest headers of a request, names and values all together, in bytes.
+    /// Maximum total size of the header names and values of a request, in bytes.
     pub header_limit: usize,
-    /// Time allowed for the whole body to arrive.
+    /// Timeout for receiving the whole body.
     pub body_timeout: Duration,
-    /// Deadline of a request that names none.
+    /// Deadline of a request that sets none.
     pub default_deadline: Duration,
-    /// Longest deadline; a longer one is shortened to it.
+    /// Maximum deadline; a longer one is reduced to it.
     pub max_deadline: Duration,
-    /// Requests in progress at this daemon, waiting ones included, at most.
+    /// Maximum number of requests in progress at this daemon, including waiting ones.
     pub max_in_progress: usize,
-    /// Bodies of requests and answers held at this daemon, all together, in bytes.
+    /// Maximum total size of the request and answer bodies buffered at this daemon, in bytes.
     pub held_bytes: usize,
-    /// Longest answer without frames that is held until it is whole, in bytes. While an answer is
-    /// held, another attempt can replace it; a longer one is passed on as it comes.
+    /// Maximum size of a non-streaming answer that is buffered until it is complete, in bytes.
+    /// While an answer is buffered, another attempt can replace it; a longer one is forwarded as it
+    /// arrives.
     pub answer_hold: usize,
-    /// Longest silence of a back end in the middle of a stream.
+    /// Maximum time without data from a back end during a stream.
     pub stream_idle: Duration,
-    /// How long a broken stream waits for another replica.
+    /// Maximum time that a broken stream waits for another replica.
     pub stream_resume_wait: Duration,
-    /// Longest stream.
+    /// Maximum duration of a stream.
     pub stream_limit: Duration,
-    /// Time in which a caller must take in more of its answer before its connection is closed.
+    /// Time after which a connection is closed whose caller reads nothing of its answer.
     pub write_stall: Duration,
-    /// When a caller is told to come back if nothing better is known.
+    /// Retry delay sent to a refused caller if no better estimate is known.
     pub retry_after: Duration,
-    /// Waiting and demand.
+    /// Admission queue and demand.
     pub admission: AdmissionSettings,
     /// Attempts of one request.
     pub attempts: AttemptSettings,
-    /// Retries of all requests together.
+    /// Retry budget shared by all requests.
     pub retries: RetryBudgetSettings,
     /// Idempotency keys.
     pub claims: ClaimSettings,
-    /// Requests that crash back ends.
+    /// Quarantine of requests that crash back ends.
     pub quarantine: QuarantineSettings,
 }
 
 impl GatewaySettings {
-    /// The defaults for a daemon that knows these zones, its own first.
+    /// The defaults for a daemon that knows these zones, with its own zone first.
     pub fn new(zones: Vec<ZoneName>) -> Self {
         Self {
             zones,
@@ -86,8 +87,8 @@
         }
     }
 
-    /// Limits of one caller's connection, for the server: a caller that sends its headers slowly or
-    /// does not read its answer is cut off. Waiting for an answer is not limited here.
+    /// Connection limits of the server: closes the connection of a caller that sends its headers
+    /// slowly or does not read its answer. Waiting for an answer is not limited here.
     pub fn connection_limits(&self) -> FuseConfig {
         FuseConfig::default()
             .with_http1_header_timeout(HEADER_TIMEOUT)
@@ -95,9 +96,9 @@
     }
 }
 
-/// Listens for callers. Each token leaves at once: accepted connections take over `TCP_NODELAY`
-/// from the listening socket (as on Linux). Without it a token waits until the caller has acknowledged the one
-/// before, which callers put off for up to 40 ms.
+/// Listens for callers, with `TCP_NODELAY` so that each token is sent at once. Accepted connections
+/// inherit the option from the listening socket (as on Linux). Without it a token waits for the
+/// acknowledgement of the previous one, which callers delay by up to 40 ms.
 ///
 /// # Errors
 /// Fails if the address cannot be bound.
@@ -107,7 +108,7 @@
     TcpAcceptor::try_from(listener)
 }
 
-/// An HTTP client for back ends: it follows no redirect, uses no proxy and sends nothing twice.
+/// Builds an HTTP client for back ends, without redirects, proxies or retries.
 ///
 /// # Errors
 /// Fails if the client cannot be built.
--- a/crates/gateway/src/unknown_path.rs
+++ b/crates/gateway/src/unknown_path.rs
@@ -1,4 +1,4 @@
-//! Every path that is not served.
+//! Fallback for paths that match no endpoint.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 use crate::endpoint::Endpoint;
 use crate::gateway::Gateway;
 
-/// Refuses every request.
+/// Refuses every request as unknown.
 pub(crate) struct UnknownPath;
 
 impl Endpoint for UnknownPath {
--- a/crates/gateway/tests/gateway/refusals.rs
+++ b/crates/gateway/tests/gateway/refusals.rs
@@ -203,7 +203,7 @@
     (
         "no coordinator",
         |settings| settings.admission.coordinator_grace = Duration::from_millis(100),
-        |bench| bench.gateway.on_heads(BTreeSet::new()),
+        |bench| bench.gateway.on_known_coordinators(BTreeSet::new()),
         ResultCode::NoCoordinator,
         Some(5),
     ),
--- a/crates/gateway/tests/gateway/support.rs
+++ b/crates/gateway/tests/gateway/support.rs
@@ -185,7 +185,7 @@
         ));
         let ticking = Arc::clone(&gateway);
         tokio::spawn(async move { ticking.run().await });
-        gateway.on_heads(BTreeSet::from([zone()]));
+        gateway.on_known_coordinators(BTreeSet::from([zone()]));
         let acceptor = listen(ANY_PORT).await.expect("a free port");
         let address = acceptor.local_addr().unwrap();
         let server = Server::new(acceptor).fuse_config(limits);
