--- a/crates/gateway/tests/gateway/refusals.rs
+++ b/crates/gateway/tests/gateway/refusals.rs
@@ -207,7 +207,7 @@
     (
         "no coordinator",
         |settings| settings.admission.coordinator_grace = Duration::from_millis(100),
-        |harness| harness.gateway.on_heads(BTreeSet::new()),
+        |harness| harness.gateway.on_known_coordinators(BTreeSet::new()),
         ResultCode::NoCoordinator,
         Some(5),
     ),
--- a/crates/gateway/tests/gateway/support.rs
+++ b/crates/gateway/tests/gateway/support.rs
@@ -188,7 +188,7 @@
         ));
         let background = Arc::clone(&gateway);
         tokio::spawn(async move { background.run().await });
-        gateway.on_heads(BTreeSet::from([zone()]));
+        gateway.on_known_coordinators(BTreeSet::from([zone()]));
         let acceptor = listen(ANY_PORT).await.expect("a free port");
         let address = acceptor.local_addr().unwrap();
         let server = Server::new(acceptor).fuse_config(limits);
