--- a/crates/operators/tests/operators/reads.rs
+++ b/crates/operators/tests/operators/reads.rs
@@ -24,7 +24,7 @@
     for table in Table::ALL {
         let command = match table {
             Table::Decisions => "explain model m".to_owned(),
-            _ => format!("show {}", table.word()),
+            _ => format!("show {}", table.keyword()),
         };
         let answer = executor.execute(&command).await.expect("rows");
         let fields: BTreeSet<&str> = table.fields().iter().map(|field| field.name).collect();
--- a/crates/query/src/command.rs
+++ b/crates/query/src/command.rs
@@ -1,4 +1,4 @@
-//! Commands as types.
+//! Typed representation of commands.
 
 use std::time::Duration;
 
@@ -10,73 +10,73 @@
 };
 use crate::table::Table;
 
-/// One command.
+/// A parsed command.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
     /// Reads a table.
     Show(Show),
-    /// Asks why a model is loaded or not.
+    /// Explains why a model is loaded or not.
     Explain(ModelName),
     /// Changes the configuration.
     Change(Change),
 }
 
-/// Reads a table.
+/// A `show` command.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Show {
-    /// Which table.
+    /// Table to read.
     pub table: Table,
-    /// Which replicas; only with [`Table::Replicas`].
+    /// Replicas to show; used only with [`Table::Replicas`].
     pub scope: ReplicaScope,
-    /// Which rows, or all.
+    /// Filter on the rows; `None` shows all of them.
     pub condition: Option<Condition>,
-    /// In which order, or as they come.
+    /// Sort order; `None` leaves the rows unsorted.
     pub order: Option<Order>,
-    /// How many rows at most.
+    /// Maximum number of rows.
     pub limit: Option<u32>,
 }
 
-/// Which replicas are shown.
+/// Selects the replicas to show.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReplicaScope {
-    /// Of which model, adapter or version, or of all.
+    /// Model, adapter or version; `None` selects all.
     pub of: Option<ModelRef>,
-    /// In which zone, or in all.
+    /// Zone; `None` selects all.
     pub zone: Option<ZoneName>,
 }
 
-/// Which rows are shown: those for which every comparison of any one group holds.
+/// A row filter in disjunctive normal form: a row matches if all comparisons of some group hold.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Condition {
-    /// Groups joined by `or`; the comparisons of a group are joined by `and`. None is empty.
+    /// Groups joined by `or`; the comparisons of a group are joined by `and`. No group is empty.
     pub any_of: Vec<Vec<Comparison>>,
 }
 
-/// One comparison of a field with a value.
+/// A comparison of a field with a value.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Comparison {
     /// Name of the field, one of the table's.
     pub field: &'static str,
-    /// How to compare.
+    /// Comparison operator.
     pub operator: Operator,
-    /// With what; has the kind of the field.
+    /// Value to compare with; its type matches the kind of the field.
     pub value: Value,
 }
 
-/// How a field is compared with a value.
+/// A comparison operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Operator {
-    /// The same.
+    /// Equal.
     Equal,
-    /// Not the same.
+    /// Not equal.
     NotEqual,
-    /// Smaller.
+    /// Less than.
     Less,
-    /// Smaller or the same.
+    /// Less than or equal.
     LessOrEqual,
-    /// Greater.
+    /// Greater than.
     Greater,
-    /// Greater or the same.
+    /// Greater than or equal.
     GreaterOrEqual,
     /// Matches a pattern with `*` and `?`; text only.
     Like,
@@ -94,7 +94,7 @@
         Self::Like,
     ];
 
-    /// As it is written.
+    /// The operator as written in the language.
     pub fn symbol(self) -> &'static str {
         match self {
             Self::Equal => "=",
@@ -108,59 +108,59 @@
     }
 }
 
-/// What a field is compared with.
+/// A literal that a field is compared with.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
-    /// A text.
+    /// A string.
     Text(String),
-    /// A number; finite.
+    /// A finite number.
     Number(f64),
     /// A size.
     Size(ByteSize),
-    /// A time, in whole milliseconds.
+    /// A duration in whole milliseconds.
     Duration(Duration),
     /// True or false.
     Flag(bool),
 }
 
-/// By which field rows are sorted.
+/// Sort order of the rows.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
     /// Name of the field, one of the table's.
     pub field: &'static str,
-    /// Greatest first.
+    /// Sorts in descending order.
     pub descending: bool,
 }
 
-/// Changes one item of configuration.
+/// A change of one configuration item.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
-    /// Which item.
+    /// Key of the item.
     pub key: ItemKey,
-    /// The version the operator saw, if named. Zero means that there was none.
+    /// Version that the operator expects, if given. Zero means that the item does not exist.
     pub expected: Option<Revision>,
-    /// What to do with it.
+    /// Operation on the item.
     pub edit: Edit,
 }
 
-/// What to do with an item.
+/// An operation on a configuration item.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Edit {
-    /// Create it.
+    /// Creates the item.
     Create(ConfigurationItem),
-    /// Set some settings of a model.
+    /// Changes settings of a model.
     SetModel(Vec<ModelSetting>),
-    /// Set some settings of a version.
+    /// Changes settings of a version.
     SetVersion(Vec<VersionSetting>),
-    /// Set some settings of an adapter.
+    /// Changes settings of an adapter.
     SetAdapter(Vec<AdapterSetting>),
-    /// Set some settings of a service.
+    /// Changes settings of a service.
     SetService(Vec<ServiceSetting>),
-    /// Set some settings of the policy.
+    /// Changes settings of the policy.
     SetPolicy(Vec<PolicySetting>),
-    /// Remove it.
+    /// Removes the item.
     Remove {
-        /// With all that refers to it or belongs to it; only for models.
+        /// Also removes the adapters and versions of the model; only for models.
         with_all: bool,
     },
 }
--- a/crates/query/src/error.rs
+++ b/crates/query/src/error.rs
@@ -1,30 +1,30 @@
-//! Errors of the language, with their place.
+//! Syntax errors with their position.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// A place in a text; both numbers start at 1.
+/// A position in a text; line and column are 1-based.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Position {
-    /// Line.
+    /// Line number.
     pub line: usize,
     /// Column, counted in characters.
     pub column: usize,
 }
 
-/// Why a text is not a command.
+/// A syntax error in a command.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub struct SyntaxError {
-    /// Where.
+    /// Position of the error.
     pub position: Position,
-    /// What stands there.
+    /// Token found there.
     pub found: String,
-    /// What could stand there.
+    /// Tokens or phrases that the grammar allows there.
     pub expected: Vec<String>,
-    /// The expected word that is most like the one found.
+    /// The expected word most similar to the one found, if any is similar enough.
     pub suggestion: Option<String>,
-    /// The line, to show the place in.
+    /// Text of the line with the error.
     pub line_text: String,
 }
 
--- a/crates/query/src/lib.rs
+++ b/crates/query/src/lib.rs
@@ -1,9 +1,9 @@
-//! The operators' language: parse, check, plan. Pure; nothing here does I/O.
+//! The operators' command language: parsing, validation and planning. This crate does no I/O.
 //!
-//! [`parse`] turns text into a typed [`Command`] or a [`SyntaxError`] that points at the place.
-//! [`plan`] checks a change against the configuration and says what to write. Every command prints
-//! itself in a form that parses back to the same command. `docs/OPERATORS.md` describes the
-//! language.
+//! [`parse`] turns text into a typed [`Command`] or a [`SyntaxError`] with the error position.
+//! [`plan`] validates a change against the configuration and returns the writes it needs. The
+//! `Display` form of every command parses back to the same command. `docs/OPERATORS.md` describes
+//! the language.
 
 #![warn(clippy::pedantic)]
 #![allow(clippy::module_name_repetitions, clippy::must_use_candidate)]
--- a/crates/query/src/parser/change.rs
+++ b/crates/query/src/parser/change.rs
@@ -1,4 +1,4 @@
-//! `create`, `change`, `remove`, `drain` and `resume`.
+//! Parsers for the `create`, `change`, `remove`, `drain` and `resume` commands.
 
 use flaxward_types::configuration::DrainSpec;
 use flaxward_types::{ConfigurationItem, ItemKey, Revision};
@@ -7,13 +7,13 @@
 
 use super::primitives::{Input, Parsed, keyword, name, reject, revision, symbol, text};
 use super::settings::{
-    adapter_setting, joined, listed, model_setting, policy_setting, service_setting,
-    version_setting,
+    adapter_setting, comma_separated, model_setting, policy_setting, service_setting,
+    setting_sequence, version_setting,
 };
 use crate::command::{Change, Edit};
 use crate::settings::{AdapterSetting, ModelSetting, ServiceSetting, VersionSetting};
 
-/// Any change.
+/// Parses any command that changes the configuration.
 pub(super) fn change(input: &mut Input) -> Parsed<Change> {
     alt((
         preceded(keyword("create"), create),
@@ -81,8 +81,8 @@
 
 fn create_model(input: &mut Input) -> Parsed<(ItemKey, ConfigurationItem)> {
     let key = model_key(input)?;
-    let settings = listed(model_setting).parse_next(input)?;
-    match ModelSetting::create(&settings) {
+    let settings = setting_sequence(model_setting).parse_next(input)?;
+    match ModelSetting::from_settings(&settings) {
         Some(spec) => Ok((key, ConfigurationItem::Model(spec))),
         None => reject(input, "`serving` and the name of a version"),
     }
@@ -90,8 +90,8 @@
 
 fn create_version(input: &mut Input) -> Parsed<(ItemKey, ConfigurationItem)> {
     let key = version_key(input)?;
-    let settings = listed(version_setting).parse_next(input)?;
-    match VersionSetting::create(&settings) {
+    let settings = setting_sequence(version_setting).parse_next(input)?;
+    match VersionSetting::from_settings(&settings) {
         Some(spec) => Ok((key, ConfigurationItem::Version(spec))),
         None => reject(input, "both `checkpoint` and `weights`"),
     }
@@ -99,8 +99,8 @@
 
 fn create_adapter(input: &mut Input) -> Parsed<(ItemKey, ConfigurationItem)> {
     let key = adapter_key(input)?;
-    let settings = listed(adapter_setting).parse_next(input)?;
-    match AdapterSetting::create(&settings) {
+    let settings = setting_sequence(adapter_setting).parse_next(input)?;
+    match AdapterSetting::from_settings(&settings) {
         Some(spec) => Ok((key, ConfigurationItem::Adapter(spec))),
         None => reject(input, "both `checkpoint` and `weights`"),
     }
@@ -108,8 +108,8 @@
 
 fn create_service(input: &mut Input) -> Parsed<(ItemKey, ConfigurationItem)> {
     let key = service_key(input)?;
-    let settings = listed(service_setting).parse_next(input)?;
-    match ServiceSetting::create(&settings) {
+    let settings = setting_sequence(service_setting).parse_next(input)?;
+    match ServiceSetting::from_settings(&settings) {
         Some(spec) => Ok((key, ConfigurationItem::Service(spec))),
         None => reject(input, "`concurrency`"),
     }
@@ -117,22 +117,25 @@
 
 fn set(input: &mut Input) -> Parsed<Change> {
     let (key, edit) = alt((
-        (model_key, set_of(joined(model_setting), Edit::SetModel)),
+        (
+            model_key,
+            set_clause(comma_separated(model_setting), Edit::SetModel),
+        ),
         (
             version_key,
-            set_of(joined(version_setting), Edit::SetVersion),
+            set_clause(comma_separated(version_setting), Edit::SetVersion),
         ),
         (
             adapter_key,
-            set_of(joined(adapter_setting), Edit::SetAdapter),
+            set_clause(comma_separated(adapter_setting), Edit::SetAdapter),
         ),
         (
             service_key,
-            set_of(joined(service_setting), Edit::SetService),
+            set_clause(comma_separated(service_setting), Edit::SetService),
         ),
         (
             keyword("policy").value(ItemKey::Policy),
-            set_of(joined(policy_setting), Edit::SetPolicy),
+            set_clause(comma_separated(policy_setting), Edit::SetPolicy),
         ),
     ))
     .parse_next(input)?;
@@ -144,7 +147,7 @@
     })
 }
 
-fn set_of<'a, T>(
+fn set_clause<'a, T>(
     settings: impl Parser<Input<'a>, Vec<T>, winnow::error::EmptyError>,
     edit: fn(Vec<T>) -> Edit,
 ) -> impl Parser<Input<'a>, Edit, winnow::error::EmptyError> {
--- a/crates/query/src/parser/mod.rs
+++ b/crates/query/src/parser/mod.rs
@@ -1,4 +1,4 @@
-//! Tokens to commands.
+//! Parses tokens into commands.
 
 mod change;
 mod primitives;
@@ -16,10 +16,10 @@
 use primitives::{Input, Parsed, accept, keyword, name};
 use track::{Expectation, Tracker};
 
-/// Reads one command; it may be followed by `;` and surrounded by empty lines and comments.
+/// Parses one command, optionally followed by `;` and surrounded by empty lines and comments.
 ///
 /// # Errors
-/// Says where the text stops being a command and what could stand there.
+/// Returns the position at which the text is invalid and what was expected there.
 pub fn parse(text: &str) -> Result<Command, SyntaxError> {
     let tokens = tokenize(text)?;
     let tracker = Tracker::new(tokens.len());
@@ -27,12 +27,12 @@
         input: TokenSlice::new(&tokens),
         state: &tracker,
     };
-    whole
+    complete_command
         .parse_next(&mut input)
         .map_err(|_| tracker.error(text, &tokens))
 }
 
-fn whole(input: &mut Input) -> Parsed<Command> {
+fn complete_command(input: &mut Input) -> Parsed<Command> {
     delimited(separators, command, (separators, end_of_input)).parse_next(input)
 }
 
--- a/crates/query/src/parser/primitives.rs
+++ b/crates/query/src/parser/primitives.rs
@@ -1,4 +1,4 @@
-//! The smallest parsers: one token each.
+//! Parsers that consume a single token.
 
 use std::str::FromStr;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 pub(super) type Input<'a> = Stateful<TokenSlice<'a, Token>, &'a Tracker>;
 pub(super) type Parsed<T> = Result<T, EmptyError>;
 
-/// Takes one token if `read` makes something of it, and else notes what was expected.
+/// Consumes one token if `read` converts it; otherwise records what was expected.
 pub(super) fn accept<T>(
     input: &mut Input,
     expected: impl IntoIterator<Item = Expectation>,
@@ -27,11 +27,11 @@
         return Ok(value);
     }
     input.reset(&start);
-    input.state.note(remaining, expected);
+    input.state.record_failure(remaining, expected);
     Err(EmptyError)
 }
 
-/// Fails at the next token with an expectation.
+/// Fails at the next token and records `expected`.
 pub(super) fn reject<T>(input: &mut Input, expected: &'static str) -> Parsed<T> {
     accept(input, [Expectation::Phrase(expected)], |_| None)
 }
@@ -43,7 +43,7 @@
     }
 }
 
-/// A keyword, in upper or lower case.
+/// Parses a keyword, case-insensitively.
 pub(super) fn keyword<'a>(word: &'static str) -> impl Parser<Input<'a>, (), EmptyError> {
     move |input: &mut Input<'a>| {
         accept(input, [Expectation::Word(word)], |kind| {
@@ -52,8 +52,8 @@
     }
 }
 
-/// One of some words, in upper or lower case.
-pub(super) fn one_word(
+/// Parses one of the given keywords, case-insensitively.
+pub(super) fn one_keyword(
     input: &mut Input,
     words: impl Iterator<Item = &'static str> + Clone,
 ) -> Parsed<&'static str> {
@@ -66,7 +66,7 @@
     })
 }
 
-/// An operator or punctuation.
+/// Parses an operator or a punctuation mark.
 pub(super) fn symbol<'a>(text: &'static str) -> impl Parser<Input<'a>, (), EmptyError> {
     move |input: &mut Input<'a>| {
         accept(input, [Expectation::Word(text)], |kind| {
@@ -75,7 +75,7 @@
     }
 }
 
-/// Anything that is read from a word, such as a name.
+/// Parses a word into any `FromStr` type, such as a name.
 pub(super) fn name<'a, T: FromStr>(phrase: &'static str) -> impl Parser<Input<'a>, T, EmptyError> {
     move |input: &mut Input<'a>| {
         accept(input, [Expectation::Phrase(phrase)], |kind| {
@@ -84,24 +84,25 @@
     }
 }
 
-/// A whole number that fits the type.
+/// Parses an integer in the range of the type.
 pub(super) fn count<T: FromStr>(input: &mut Input) -> Parsed<T> {
     name("a whole number in range").parse_next(input)
 }
 
-/// A number.
+/// Parses a finite number.
 pub(super) fn number(input: &mut Input) -> Parsed<f64> {
     accept(input, [Expectation::Phrase("a number")], |kind| {
         read_word(kind, |word| word.parse().ok()).filter(|number: &f64| number.is_finite())
     })
 }
 
-/// The version of an object.
+/// Parses the version of an object.
 pub(super) fn revision(input: &mut Input) -> Parsed<Revision> {
     name("a version number").map(Revision).parse_next(input)
 }
 
-/// A size; a number without a unit is refused, since it is more often a slip than bytes.
+/// Parses a size. A number without a unit is rejected, since it is more likely a mistake than a
+/// size in bytes.
 pub(super) fn size(input: &mut Input) -> Parsed<ByteSize> {
     let expected = [Expectation::Phrase("a size with its unit, such as 16GiB")];
     accept(input, expected, |kind| {
@@ -112,7 +113,7 @@
     })
 }
 
-/// A time in whole milliseconds, as one word or quoted.
+/// Parses a duration, as a word or a quoted string, and truncates it to whole milliseconds.
 pub(super) fn duration(input: &mut Input) -> Parsed<Duration> {
     let expected = [Expectation::Phrase("a time with its unit, such as 30s")];
     accept(input, expected, |kind| match kind {
@@ -125,14 +126,14 @@
     })
 }
 
-/// A time in whole milliseconds.
+/// Parses a duration as a number of whole milliseconds.
 pub(super) fn millis(input: &mut Input) -> Parsed<u64> {
     duration
         .map(|duration| u64::try_from(duration.as_millis()).unwrap_or(u64::MAX))
         .parse_next(input)
 }
 
-/// A text, quoted unless it is one word.
+/// Parses a string; quotes are optional for a single word.
 pub(super) fn text(input: &mut Input) -> Parsed<String> {
     let expected = [Expectation::Phrase("a text in single quotes")];
     accept(input, expected, |kind| match kind {
--- a/crates/query/src/parser/settings.rs
+++ b/crates/query/src/parser/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of items, as `create` and `change` name them.
+//! Parsers for the settings of items in `create` and `change`.
 
 use std::collections::BTreeSet;
 
@@ -11,18 +11,18 @@
     Input, Parsed, count, keyword, millis, name, number, reject, size, symbol, text,
 };
 use crate::settings::{
-    AdapterSetting, ModelSetting, PolicySetting, ServiceSetting, VersionSetting, all_different,
+    AdapterSetting, ModelSetting, PolicySetting, ServiceSetting, VersionSetting, has_no_duplicates,
 };
 
-/// Settings of `create`, one after the other.
-pub(super) fn listed<'a, T>(
+/// Parses the settings of `create`, without separators between them.
+pub(super) fn setting_sequence<'a, T>(
     setting: impl Parser<Input<'a>, T, EmptyError>,
 ) -> impl Parser<Input<'a>, Vec<T>, EmptyError> {
     distinct(repeat(1.., setting))
 }
 
-/// Settings of `change`, joined by commas.
-pub(super) fn joined<'a, T>(
+/// Parses the settings of `change`, separated by commas.
+pub(super) fn comma_separated<'a, T>(
     setting: impl Parser<Input<'a>, T, EmptyError>,
 ) -> impl Parser<Input<'a>, Vec<T>, EmptyError> {
     distinct(separated(1.., setting, symbol(",")))
@@ -33,7 +33,7 @@
 ) -> impl Parser<Input<'a>, Vec<T>, EmptyError> {
     move |input: &mut Input<'a>| {
         let settings = settings.parse_next(input)?;
-        if all_different(&settings) {
+        if has_no_duplicates(&settings) {
             return Ok(settings);
         }
         reject(input, "each setting once only")
@@ -63,19 +63,19 @@
     alt((all, some)).parse_next(input)
 }
 
-/// The name of a zone, unless it starts the next setting after a comma. Looks at two words only,
-/// so that the time to read a list does not depend on what follows it.
+/// Parses the name of a zone, unless the word starts the next setting after a comma. The lookahead
+/// is limited to two words, so that its cost does not depend on what follows.
 fn zone(input: &mut Input) -> Parsed<ZoneName> {
     let rule = (keyword("at"), alt((keyword("most"), keyword("least")))).void();
     let copies = (keyword("copies"), keyword("at")).void();
-    let place = (keyword("in"), alt((keyword("zones"), keyword("all")))).void();
+    let placement = (keyword("in"), alt((keyword("zones"), keyword("all")))).void();
     let number = (alt((keyword("priority"), keyword("queue"))), count::<u32>).void();
     let serving = (
         keyword("serving"),
         name::<flaxward_types::VersionName>("the name of a version"),
     )
         .void();
-    not(alt((rule, copies, place, number, serving))).parse_next(input)?;
+    not(alt((rule, copies, placement, number, serving))).parse_next(input)?;
     name("the name of a zone").parse_next(input)
 }
 
--- a/crates/query/src/parser/show.rs
+++ b/crates/query/src/parser/show.rs
@@ -1,18 +1,18 @@
-//! `show`.
+//! Parser for the `show` command.
 
 use flaxward_types::ModelRef;
 use winnow::combinator::{opt, preceded, separated};
 use winnow::prelude::*;
 
 use super::primitives::{
-    Input, Parsed, accept, count, duration, keyword, name, number, one_word, size, symbol, text,
+    Input, Parsed, accept, count, duration, keyword, name, number, one_keyword, size, symbol, text,
 };
 use super::track::Expectation;
 use crate::command::{Comparison, Condition, Operator, Order, ReplicaScope, Show, Value};
 use crate::table::{Field, FieldKind, Table};
 use crate::token::TokenKind;
 
-/// What follows `show`.
+/// Parses the remainder of a command after `show`.
 pub(super) fn show(input: &mut Input) -> Parsed<Show> {
     let table = table(input)?;
     let scope = match table {
@@ -36,13 +36,13 @@
 
 fn table(input: &mut Input) -> Parsed<Table> {
     let tables = Table::ALL.iter().filter(|table| table.is_shown());
-    let word = one_word(input, tables.clone().map(|table| table.word()))?;
-    let found = tables.copied().find(|table| table.word() == word);
+    let word = one_keyword(input, tables.clone().map(|table| table.keyword()))?;
+    let found = tables.copied().find(|table| table.keyword() == word);
     Ok(found.unwrap_or(Table::Models))
 }
 
 fn scope(input: &mut Input) -> Parsed<ReplicaScope> {
-    let of = opt(preceded(keyword("of"), reference)).parse_next(input)?;
+    let of = opt(preceded(keyword("of"), model_reference)).parse_next(input)?;
     let zone = opt(preceded(
         (keyword("in"), keyword("zone")),
         name("the name of a zone"),
@@ -51,7 +51,7 @@
     Ok(ReplicaScope { of, zone })
 }
 
-fn reference(input: &mut Input) -> Parsed<ModelRef> {
+fn model_reference(input: &mut Input) -> Parsed<ModelRef> {
     let model = name("the name of a model").parse_next(input)?;
     let adapter = opt(preceded(symbol(":"), name("the name of an adapter"))).parse_next(input)?;
     let version = opt(preceded(symbol("@"), name("the name of a version"))).parse_next(input)?;
@@ -90,11 +90,12 @@
 
 fn field(input: &mut Input, table: Table) -> Parsed<&'static Field> {
     let fields = table.fields();
-    let name = one_word(input, fields.iter().map(|field| field.name))?;
+    let name = one_keyword(input, fields.iter().map(|field| field.name))?;
     Ok(table.field(name).unwrap_or(&fields[0]))
 }
 
-/// An operator that the kind of the field has: flags have no order, and only texts are patterns.
+/// Parses an operator that the field kind supports: flags and states are not ordered, and only text
+/// and state fields match patterns.
 fn operator(input: &mut Input, kind: FieldKind) -> Parsed<Operator> {
     let allowed = Operator::ALL.into_iter().filter(|operator| match operator {
         Operator::Equal | Operator::NotEqual => true,
@@ -122,13 +123,12 @@
         FieldKind::Number => number.map(Value::Number).parse_next(input),
         FieldKind::Size => size.map(Value::Size).parse_next(input),
         FieldKind::Duration => duration.map(Value::Duration).parse_next(input),
-        FieldKind::Flag => {
-            one_word(input, ["true", "false"].into_iter()).map(|word| Value::Flag(word == "true"))
-        }
+        FieldKind::Flag => one_keyword(input, ["true", "false"].into_iter())
+            .map(|word| Value::Flag(word == "true")),
     }
 }
 
-/// One of the states of a field, quoted or not.
+/// Parses one of the states of a field, optionally quoted.
 fn state(input: &mut Input, words: &'static [&'static str]) -> Parsed<Value> {
     let expected = words.iter().map(|word| Expectation::Word(word));
     accept(input, expected, |kind| match kind {
--- a/crates/query/src/parser/track.rs
+++ b/crates/query/src/parser/track.rs
@@ -1,29 +1,29 @@
-//! Remembers how far the parser got and what it looked for there.
+//! Tracks the furthest token that the parser reached and what it expected there.
 //!
-//! The parser backtracks out of optional clauses, so the last failure alone does not tell what is
-//! wrong; the furthest one does.
+//! The parser backtracks out of optional clauses, so the last failure need not be the actual error;
+//! the failure at the furthest token is reported instead.
 
 use std::cell::RefCell;
 
 use crate::error::SyntaxError;
 use crate::token::{Token, TokenKind};
 
-/// Words less alike than this are not suggested; 1 means the same.
-const LEAST_LIKENESS: f64 = 0.8;
+/// Minimum Jaro-Winkler similarity of a suggested keyword; 1 means identical words.
+const MIN_SIMILARITY: f64 = 0.8;
 
-/// What could stand at a place.
+/// What the grammar allows at a token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Expectation {
-    /// Exactly this.
+    /// This keyword or symbol.
     Word(&'static str),
-    /// Something described.
+    /// A description of the allowed input.
     Phrase(&'static str),
 }
 
-/// The furthest place at which something was looked for.
+/// Records the furthest token at which parsing failed.
 #[derive(Debug)]
 pub(crate) struct Tracker {
-    tokens: usize,
+    token_count: usize,
     furthest: RefCell<Furthest>,
 }
 
@@ -34,17 +34,21 @@
 }
 
 impl Tracker {
-    /// Starts at the first of some tokens.
-    pub(crate) fn new(tokens: usize) -> Self {
+    /// Creates a tracker for an input of `token_count` tokens.
+    pub(crate) fn new(token_count: usize) -> Self {
         Self {
-            tokens,
+            token_count,
             furthest: RefCell::default(),
         }
     }
 
-    /// Notes that some expectations were not met when this many tokens remained.
-    pub(crate) fn note(&self, remaining: usize, expected: impl IntoIterator<Item = Expectation>) {
-        let index = self.tokens - remaining;
+    /// Records that none of the expectations matched with `remaining` tokens left.
+    pub(crate) fn record_failure(
+        &self,
+        remaining: usize,
+        expected: impl IntoIterator<Item = Expectation>,
+    ) {
+        let index = self.token_count - remaining;
         let mut furthest = self.furthest.borrow_mut();
         if index < furthest.index {
             return;
@@ -60,7 +64,7 @@
         }
     }
 
-    /// The error at the furthest place.
+    /// Builds the error for the furthest failure.
     pub(crate) fn error(&self, text: &str, tokens: &[Token]) -> SyntaxError {
         let furthest = self.furthest.borrow();
         let token = &tokens[furthest.index.min(tokens.len() - 1)];
@@ -71,13 +75,14 @@
                 Expectation::Word(word) => format!("`{word}`"),
                 Expectation::Phrase(phrase) => (*phrase).to_owned(),
             });
-        let mut error = SyntaxError::new(text, token.start, found(token), expected.collect());
+        let mut error =
+            SyntaxError::new(text, token.start, describe_token(token), expected.collect());
         error.suggestion = suggestion(&token.kind, &furthest.expected);
         error
     }
 }
 
-fn found(token: &Token) -> String {
+fn describe_token(token: &Token) -> String {
     match &token.kind {
         TokenKind::Word(word) => format!("`{word}`"),
         TokenKind::Text(text) => format!("the text '{text}'"),
@@ -97,7 +102,7 @@
     });
     words
         .map(|word| (strsim::jaro_winkler(word, &found), word))
-        .filter(|(likeness, _)| *likeness >= LEAST_LIKENESS)
+        .filter(|(similarity, _)| *similarity >= MIN_SIMILARITY)
         .max_by(|(left, _), (right, _)| left.total_cmp(right))
         .map(|(_, word)| word.to_owned())
 }
--- a/crates/query/src/plan.rs
+++ b/crates/query/src/plan.rs
@@ -1,4 +1,4 @@
-//! Checks a change against the configuration and says what to write.
+//! Validates a change against the configuration and plans its writes.
 
 use flaxward_control::configuration::Configuration;
 use flaxward_types::configuration::PolicySpec;
@@ -14,38 +14,38 @@
 /// One write to the object API.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
-    /// Which item.
+    /// Key of the item.
     pub key: ItemKey,
-    /// What to write.
+    /// The write operation.
     pub write: Write,
 }
 
-/// What to write, and over what.
+/// A write operation with its precondition.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Write {
-    /// Create it; there must be none.
+    /// Creates the item; it must not exist.
     Create(ConfigurationItem),
-    /// Replace it if it still has this version.
+    /// Replaces the item if it still has this version.
     Replace(Revision, ConfigurationItem),
-    /// Remove it if it still has this version.
+    /// Deletes the item if it still has this version.
     Delete(Revision),
 }
 
-/// What stands where a change was meant to go.
+/// Current state of the item that a change addresses.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Current {
-    /// Its version; zero if there is none.
+    /// Version of the item; zero if it does not exist.
     pub version: Revision,
-    /// Its content, or `None` if there is none or it cannot be read.
+    /// Content of the item; `None` if it does not exist or cannot be read.
     pub item: Option<ConfigurationItem>,
 }
 
-/// Why a change is refused, with what stands in its way if another operator came first.
+/// Refusal of a change, with the current item if it conflicts with another operator's change.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rejection {
-    /// Why.
+    /// Reason for the refusal.
     pub refusal: Refusal,
-    /// What stands there now, for conflicts.
+    /// Current state of the item, for conflicts.
     pub current: Option<Current>,
 }
 
@@ -59,7 +59,7 @@
 }
 
 impl Rejection {
-    /// The object is not the one that the change was meant for.
+    /// Rejects a change of an item that no longer has the expected version or no longer exists.
     pub fn conflict(key: &ItemKey, current: Current) -> Self {
         let key = print_key(key);
         let detail = match &current.item {
@@ -77,7 +77,7 @@
         }
     }
 
-    /// The object to create is there already.
+    /// Rejects the creation of an item that already exists.
     pub fn exists(key: &ItemKey, current: Current) -> Self {
         let content = current.item.as_ref().map_or_else(String::new, describe);
         let detail = format!(
@@ -96,12 +96,12 @@
     Err(Refusal::new(code).with_detail(detail).into())
 }
 
-/// Says what to write for a change, in order. Only `remove model M with all` takes more than one
-/// step; each step leaves a valid configuration, so the command can be repeated after a failure.
+/// Returns the writes for a change, in order. Only `remove model M with all` needs more than one
+/// step. Each step leaves a valid configuration, so the command can be retried after a failure.
 ///
 /// # Errors
-/// Refuses a change that breaks a rule, names a version other than the current one, or refers to
-/// what does not exist.
+/// Rejects a change that violates a validation rule, expects a version other than the current one,
+/// or refers to an item that does not exist.
 pub fn plan(change: &Change, configuration: &Configuration) -> Result<Vec<Step>, Rejection> {
     let current = configuration.item(&change.key);
     check_version(change, current)?;
@@ -152,9 +152,9 @@
         None if change.key == ItemKey::Policy => {
             (None, ConfigurationItem::Policy(PolicySpec::default()))
         }
-        None => return unknown(&change.key),
+        None => return unknown_object(&change.key),
     };
-    set(&change.edit, &mut item)?;
+    apply_edit(&change.edit, &mut item)?;
     check_item(&change.key, &item, configuration)?;
     let write = match version {
         Some(version) => Write::Replace(version, item),
@@ -166,12 +166,12 @@
     }])
 }
 
-fn unknown<T>(key: &ItemKey) -> Result<T, Rejection> {
+fn unknown_object<T>(key: &ItemKey) -> Result<T, Rejection> {
     let detail = format!("{} does not exist", print_key(key));
     refuse(ResultCode::UnknownObject, detail)
 }
 
-fn set(edit: &Edit, item: &mut ConfigurationItem) -> Result<(), Rejection> {
+fn apply_edit(edit: &Edit, item: &mut ConfigurationItem) -> Result<(), Rejection> {
     match (edit, item) {
         (Edit::SetModel(settings), ConfigurationItem::Model(spec)) => {
             for setting in settings {
@@ -209,53 +209,57 @@
     configuration: &Configuration,
 ) -> Result<Vec<Step>, Rejection> {
     let current = configuration.item(&change.key);
-    let own = current.map(|(version, _)| delete(&change.key, *version));
+    let own_step = current.map(|(version, _)| delete_step(&change.key, *version));
     if let (ItemKey::Model(model), true) = (&change.key, with_all) {
-        return plan_remove_all(model, own, configuration);
+        return plan_remove_all(model, own_step, configuration);
     }
-    let Some(own) = own else {
-        return unknown(&change.key);
+    let Some(own_step) = own_step else {
+        return unknown_object(&change.key);
     };
     match &change.key {
         ItemKey::Model(model) => {
             check_no_adapters(model, configuration)?;
-            Ok(vec![own])
+            Ok(vec![own_step])
         }
         ItemKey::Version(model, version) => {
             check_not_serving(model, version, configuration)?;
-            Ok(vec![own])
+            Ok(vec![own_step])
         }
-        _ => Ok(vec![own]),
+        _ => Ok(vec![own_step]),
     }
 }
 
-/// Adapters, model, versions. The model may be gone already, by a removal that stopped halfway.
+/// Deletes the adapters, then the model, then the versions. The model may already be absent after
+/// an earlier removal that was interrupted.
 fn plan_remove_all(
     model: &ModelName,
-    own: Option<Step>,
+    own_step: Option<Step>,
     configuration: &Configuration,
 ) -> Result<Vec<Step>, Rejection> {
-    let mut steps = parts(configuration, |key| is_adapter_of(key, model));
-    steps.extend(own);
-    steps.extend(parts(configuration, |key| is_version_of(key, model)));
+    let mut steps = delete_steps(configuration, |key| is_adapter_of(key, model));
+    steps.extend(own_step);
+    steps.extend(delete_steps(configuration, |key| is_version_of(key, model)));
     if steps.is_empty() {
-        return unknown(&ItemKey::Model(model.clone()));
+        return unknown_object(&ItemKey::Model(model.clone()));
     }
     Ok(steps)
 }
 
-fn delete(key: &ItemKey, version: Revision) -> Step {
+fn delete_step(key: &ItemKey, version: Revision) -> Step {
     Step {
         key: key.clone(),
         write: Write::Delete(version),
     }
 }
 
-fn parts(configuration: &Configuration, belongs: impl Fn(&ItemKey) -> bool) -> Vec<Step> {
+fn delete_steps(
+    configuration: &Configuration,
+    is_selected: impl Fn(&ItemKey) -> bool,
+) -> Vec<Step> {
     configuration
         .items()
-        .filter(|(key, _, _)| belongs(key))
-        .map(|(key, version, _)| delete(key, version))
+        .filter(|(key, _, _)| is_selected(key))
+        .map(|(key, version, _)| delete_step(key, version))
         .collect()
 }
 
@@ -268,7 +272,7 @@
 }
 
 fn check_no_adapters(model: &ModelName, configuration: &Configuration) -> Result<(), Rejection> {
-    let adapters: Vec<String> = parts(configuration, |key| is_adapter_of(key, model))
+    let adapters: Vec<String> = delete_steps(configuration, |key| is_adapter_of(key, model))
         .iter()
         .map(|step| print_key(&step.key))
         .collect();
--- a/crates/query/src/print.rs
+++ b/crates/query/src/print.rs
@@ -1,4 +1,4 @@
-//! Commands as text that parses back to the same command.
+//! Formats commands as text that parses back to the same command.
 
 use std::fmt::{self, Display, Formatter};
 use std::time::Duration;
@@ -14,7 +14,7 @@
     AdapterSetting, ModelSetting, PolicySetting, ServiceSetting, VersionSetting,
 };
 
-/// Binary units, greatest first.
+/// Binary units, largest first.
 const UNITS: [(u64, &str); 4] = [
     (1 << 40, "TiB"),
     (1 << 30, "GiB"),
@@ -22,7 +22,7 @@
     (1 << 10, "KiB"),
 ];
 
-/// A size in the greatest unit that gives a whole number.
+/// Formats a size in the largest unit that gives a whole number.
 pub fn print_size(size: ByteSize) -> String {
     let bytes = size.as_u64();
     UNITS
@@ -53,15 +53,15 @@
     parts.join(separator)
 }
 
-/// All settings of an item, as `create` would be given them.
+/// Formats all settings of an item in the syntax of `create`.
 pub fn describe(item: &ConfigurationItem) -> String {
     match item {
-        ConfigurationItem::Model(spec) => join(ModelSetting::all(spec), " "),
-        ConfigurationItem::Version(spec) => join(VersionSetting::all(spec), " "),
-        ConfigurationItem::Adapter(spec) => join(AdapterSetting::all(spec), " "),
-        ConfigurationItem::Service(spec) => join(ServiceSetting::all(spec), " "),
+        ConfigurationItem::Model(spec) => join(ModelSetting::from_spec(spec), " "),
+        ConfigurationItem::Version(spec) => join(VersionSetting::from_spec(spec), " "),
+        ConfigurationItem::Adapter(spec) => join(AdapterSetting::from_spec(spec), " "),
+        ConfigurationItem::Service(spec) => join(ServiceSetting::from_spec(spec), " "),
         ConfigurationItem::Drain(DrainSpec { reason }) => format!("reason {}", quote(reason)),
-        ConfigurationItem::Policy(spec) => join(PolicySetting::all(spec), " "),
+        ConfigurationItem::Policy(spec) => join(PolicySetting::from_spec(spec), " "),
     }
 }
 
@@ -134,7 +134,7 @@
 
 impl Display for Show {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
-        write!(formatter, "show {}", self.table.word())?;
+        write!(formatter, "show {}", self.table.keyword())?;
         self.scope.fmt(formatter)?;
         if let Some(condition) = &self.condition {
             write!(formatter, " where {condition}")?;
@@ -199,7 +199,7 @@
     }
 }
 
-/// The key as commands name it.
+/// Formats a key in the syntax of commands.
 pub fn print_key(key: &ItemKey) -> String {
     match key {
         ItemKey::Model(model) => format!("model {model}"),
--- a/crates/query/src/rules.rs
+++ b/crates/query/src/rules.rs
@@ -1,4 +1,4 @@
-//! Rules that every item of configuration keeps.
+//! Validation rules for configuration items.
 
 use flaxward_control::configuration::Configuration;
 use flaxward_types::configuration::{
@@ -6,14 +6,14 @@
 };
 use flaxward_types::{ArtifactId, ConfigurationItem, ItemKey, ModelName, Refusal, ResultCode};
 
-type Checked = Result<(), Refusal>;
+type ValidationResult = Result<(), Refusal>;
 
-/// Checks an item before it is written under a key.
+/// Validates an item before it is written under a key.
 pub(crate) fn check_item(
     key: &ItemKey,
     item: &ConfigurationItem,
     configuration: &Configuration,
-) -> Checked {
+) -> ValidationResult {
     match (key, item) {
         (ItemKey::Model(model), ConfigurationItem::Model(spec)) => {
             check_model(model, spec, configuration)
@@ -25,19 +25,23 @@
         (ItemKey::Service(_), ConfigurationItem::Service(spec)) => check_service(spec),
         (ItemKey::Drain(_), ConfigurationItem::Drain(spec)) => check_drain(spec),
         (ItemKey::Policy, ConfigurationItem::Policy(spec)) => check_policy(spec),
-        _ => rule(false, "the item is of another kind"),
+        _ => ensure(false, "the item is of another kind"),
     }
 }
 
-fn rule(holds: bool, detail: impl Into<String>) -> Checked {
-    if holds {
+fn ensure(condition: bool, detail: impl Into<String>) -> ValidationResult {
+    if condition {
         return Ok(());
     }
     Err(Refusal::new(ResultCode::InvalidValue).with_detail(detail))
 }
 
-fn check_model(model: &ModelName, spec: &ModelSpec, configuration: &Configuration) -> Checked {
-    rule(
+fn check_model(
+    model: &ModelName,
+    spec: &ModelSpec,
+    configuration: &Configuration,
+) -> ValidationResult {
+    ensure(
         spec.copies.at_least <= spec.copies.at_most,
         "`at least` must not be greater than `at most`",
     )?;
@@ -50,31 +54,35 @@
         return Ok(());
     }
     let detail = format!("version {serving} does not exist; create it first");
-    rule(false, detail)
+    ensure(false, detail)
 }
 
-fn check_version_spec(spec: &VersionSpec) -> Checked {
-    rule(
+fn check_version_spec(spec: &VersionSpec) -> ValidationResult {
+    ensure(
         !spec.checkpoint.trim().is_empty(),
         "the checkpoint must not be empty",
     )?;
-    rule(
+    ensure(
         spec.weights.as_u64() > 0,
         "the weights must be greater than 0",
     )?;
     let total = spec.weights.as_u64().checked_add(spec.kv_cache.as_u64());
-    rule(
+    ensure(
         total.is_some(),
         "the weights and the KV cache are too large",
     )
 }
 
-fn check_adapter(model: &ModelName, spec: &AdapterSpec, configuration: &Configuration) -> Checked {
-    rule(
+fn check_adapter(
+    model: &ModelName,
+    spec: &AdapterSpec,
+    configuration: &Configuration,
+) -> ValidationResult {
+    ensure(
         !spec.checkpoint.trim().is_empty(),
         "the checkpoint must not be empty",
     )?;
-    rule(
+    ensure(
         spec.weights.as_u64() > 0,
         "the weights must be greater than 0",
     )?;
@@ -82,37 +90,37 @@
         return Ok(());
     }
     let detail = format!("model {model} does not exist; create it first");
-    rule(false, detail)
+    ensure(false, detail)
 }
 
-fn check_service(spec: &ServiceSpec) -> Checked {
-    rule(
+fn check_service(spec: &ServiceSpec) -> ValidationResult {
+    ensure(
         spec.concurrency > 0,
         "the concurrency must be greater than 0",
     )
 }
 
-fn check_drain(spec: &DrainSpec) -> Checked {
-    rule(
+fn check_drain(spec: &DrainSpec) -> ValidationResult {
+    ensure(
         !spec.reason.trim().is_empty(),
         "the reason must not be empty",
     )
 }
 
-fn check_policy(spec: &PolicySpec) -> Checked {
-    rule(
+fn check_policy(spec: &PolicySpec) -> ValidationResult {
+    ensure(
         (0.0..=1.0).contains(&spec.cold_start_weight),
         "cold_start_weight must be between 0 and 1",
     )?;
-    rule(
+    ensure(
         spec.weight_store_parallel > 0,
         "weight_store_parallel must be greater than 0",
     )?;
-    rule(
+    ensure(
         spec.weight_store_per_second > 0.0 && spec.weight_store_per_second.is_finite(),
         "weight_store_per_second must be greater than 0",
     )?;
-    rule(
+    ensure(
         spec.keep_alive_min_ms <= spec.keep_alive_max_ms,
         "keep_alive_min must not be greater than keep_alive_max",
     )
--- a/crates/query/src/settings.rs
+++ b/crates/query/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings that `create` and `change` can name, one type per kind of item.
+//! Settings that `create` and `change` accept, one type per kind of item.
 
 use std::collections::BTreeSet;
 use std::mem::{Discriminant, discriminant};
@@ -9,31 +9,31 @@
 };
 use flaxward_types::{VersionName, ZoneName};
 
-/// Priority of a model for which none is given.
+/// Default priority of a model.
 pub const DEFAULT_PRIORITY: u8 = 100;
 
-/// Queue limit of a model for which none is given.
+/// Default queue limit of a model.
 pub const DEFAULT_QUEUE_LIMIT: u32 = 1_000;
 
 /// A setting of a model.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ModelSetting {
-    /// Version that answers requests which name none.
+    /// Version that serves requests without an explicit version.
     Serving(VersionName),
-    /// Replicas loaded at any one time, at most.
+    /// Maximum number of replicas loaded at the same time.
     AtMost(u32),
-    /// Replicas kept loaded even when nobody asks.
+    /// Minimum number of replicas kept loaded, even without requests.
     AtLeast(u32),
     /// Zones that may hold replicas; empty means every zone.
     Zones(BTreeSet<ZoneName>),
-    /// Rank of its loads and requests.
+    /// Priority of its loads and requests.
     Priority(u8),
-    /// Requests waiting for it at one daemon, at most.
+    /// Maximum number of requests queued for the model at one daemon.
     QueueLimit(u32),
 }
 
 impl ModelSetting {
-    /// Sets it.
+    /// Applies the setting to a spec.
     pub fn apply(&self, spec: &mut ModelSpec) {
         match self {
             Self::Serving(version) => spec.serving = version.clone(),
@@ -45,8 +45,8 @@
         }
     }
 
-    /// Makes a model of its settings; `None` if it lacks the serving version.
-    pub(crate) fn create(settings: &[Self]) -> Option<ModelSpec> {
+    /// Builds a model spec; `None` if the serving version is missing.
+    pub(crate) fn from_settings(settings: &[Self]) -> Option<ModelSpec> {
         let serving = settings.iter().find_map(|setting| match setting {
             Self::Serving(version) => Some(version.clone()),
             _ => None,
@@ -63,8 +63,8 @@
         Some(spec)
     }
 
-    /// Every setting of a model.
-    pub(crate) fn all(spec: &ModelSpec) -> Vec<Self> {
+    /// Returns every setting of a model.
+    pub(crate) fn from_spec(spec: &ModelSpec) -> Vec<Self> {
         vec![
             Self::Serving(spec.serving.clone()),
             Self::AtMost(spec.copies.at_most),
@@ -83,12 +83,12 @@
     Checkpoint(String),
     /// Accelerator memory of the weights.
     Weights(ByteSize),
-    /// Accelerator memory set aside for the KV cache.
+    /// Accelerator memory reserved for the KV cache.
     KvCache(ByteSize),
 }
 
 impl VersionSetting {
-    /// Sets it.
+    /// Applies the setting to a spec.
     pub fn apply(&self, spec: &mut VersionSpec) {
         match self {
             Self::Checkpoint(path) => spec.checkpoint.clone_from(path),
@@ -97,9 +97,9 @@
         }
     }
 
-    /// Makes a version of its settings; `None` if it lacks the checkpoint or the weights.
-    pub(crate) fn create(settings: &[Self]) -> Option<VersionSpec> {
-        let has = |wanted: fn(&Self) -> bool| settings.iter().any(wanted);
+    /// Builds a version spec; `None` if the checkpoint or the weights are missing.
+    pub(crate) fn from_settings(settings: &[Self]) -> Option<VersionSpec> {
+        let has = |predicate: fn(&Self) -> bool| settings.iter().any(predicate);
         let complete = has(|setting| matches!(setting, Self::Checkpoint(_)))
             && has(|setting| matches!(setting, Self::Weights(_)));
         let mut spec = VersionSpec {
@@ -113,8 +113,8 @@
         complete.then_some(spec)
     }
 
-    /// Every setting of a version.
-    pub(crate) fn all(spec: &VersionSpec) -> Vec<Self> {
+    /// Returns every setting of a version.
+    pub(crate) fn from_spec(spec: &VersionSpec) -> Vec<Self> {
         vec![
             Self::Checkpoint(spec.checkpoint.clone()),
             Self::Weights(spec.weights),
@@ -130,12 +130,12 @@
     Checkpoint(String),
     /// Accelerator memory of the adapter.
     Weights(ByteSize),
-    /// Replicas loaded at any one time, at most.
+    /// Maximum number of replicas loaded at the same time.
     AtMost(u32),
 }
 
 impl AdapterSetting {
-    /// Sets it.
+    /// Applies the setting to a spec.
     pub fn apply(&self, spec: &mut AdapterSpec) {
         match self {
             Self::Checkpoint(path) => spec.checkpoint.clone_from(path),
@@ -144,9 +144,9 @@
         }
     }
 
-    /// Makes an adapter of its settings; `None` if it lacks the checkpoint or the weights.
-    pub(crate) fn create(settings: &[Self]) -> Option<AdapterSpec> {
-        let has = |wanted: fn(&Self) -> bool| settings.iter().any(wanted);
+    /// Builds an adapter spec; `None` if the checkpoint or the weights are missing.
+    pub(crate) fn from_settings(settings: &[Self]) -> Option<AdapterSpec> {
+        let has = |predicate: fn(&Self) -> bool| settings.iter().any(predicate);
         let complete = has(|setting| matches!(setting, Self::Checkpoint(_)))
             && has(|setting| matches!(setting, Self::Weights(_)));
         let mut spec = AdapterSpec {
@@ -160,8 +160,8 @@
         complete.then_some(spec)
     }
 
-    /// Every setting of an adapter.
-    pub(crate) fn all(spec: &AdapterSpec) -> Vec<Self> {
+    /// Returns every setting of an adapter.
+    pub(crate) fn from_spec(spec: &AdapterSpec) -> Vec<Self> {
         vec![
             Self::Checkpoint(spec.checkpoint.clone()),
             Self::Weights(spec.weights),
@@ -173,27 +173,27 @@
 /// A setting of a service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ServiceSetting {
-    /// Requests in progress at one machine, at most.
+    /// Maximum number of concurrent requests at one machine.
     Concurrency(u32),
 }
 
 impl ServiceSetting {
-    /// Sets it.
+    /// Applies the setting to a spec.
     pub fn apply(&self, spec: &mut ServiceSpec) {
         let Self::Concurrency(count) = self;
         spec.concurrency = *count;
     }
 
-    /// Makes a service of its settings; `None` if there is none.
-    pub(crate) fn create(settings: &[Self]) -> Option<ServiceSpec> {
+    /// Builds a service spec; `None` without settings.
+    pub(crate) fn from_settings(settings: &[Self]) -> Option<ServiceSpec> {
         let Self::Concurrency(concurrency) = settings.first()?;
         Some(ServiceSpec {
             concurrency: *concurrency,
         })
     }
 
-    /// Every setting of a service.
-    pub(crate) fn all(spec: &ServiceSpec) -> Vec<Self> {
+    /// Returns every setting of a service.
+    pub(crate) fn from_spec(spec: &ServiceSpec) -> Vec<Self> {
         vec![Self::Concurrency(spec.concurrency)]
     }
 }
@@ -203,18 +203,18 @@
 pub enum PolicySetting {
     /// Weight of tail cold-start time against idle accelerator hours.
     ColdStartWeight(f64),
-    /// Loads from the weight store at one time.
+    /// Maximum number of concurrent loads from the weight store.
     WeightStoreParallel(u32),
-    /// Loads started from the weight store in a second.
+    /// Maximum number of loads started from the weight store per second.
     WeightStorePerSecond(f64),
-    /// Shortest time a replica stays loaded without requests, in milliseconds.
+    /// Minimum time a replica stays loaded without requests, in milliseconds.
     KeepAliveMin(u64),
-    /// Longest time a replica stays loaded without requests, in milliseconds.
+    /// Maximum time a replica stays loaded without requests, in milliseconds.
     KeepAliveMax(u64),
 }
 
 impl PolicySetting {
-    /// Sets it.
+    /// Applies the setting to a spec.
     pub fn apply(&self, spec: &mut PolicySpec) {
         match self {
             Self::ColdStartWeight(weight) => spec.cold_start_weight = *weight,
@@ -225,8 +225,8 @@
         }
     }
 
-    /// Every setting of the policy.
-    pub(crate) fn all(spec: &PolicySpec) -> Vec<Self> {
+    /// Returns every setting of the policy.
+    pub(crate) fn from_spec(spec: &PolicySpec) -> Vec<Self> {
         vec![
             Self::ColdStartWeight(spec.cold_start_weight),
             Self::WeightStoreParallel(spec.weight_store_parallel),
@@ -237,8 +237,8 @@
     }
 }
 
-/// Whether no setting is named twice.
-pub(crate) fn all_different<T>(settings: &[T]) -> bool {
+/// Whether each setting occurs at most once.
+pub(crate) fn has_no_duplicates<T>(settings: &[T]) -> bool {
     let kinds: Vec<Discriminant<T>> = settings.iter().map(discriminant).collect();
     kinds
         .iter()
--- a/crates/query/src/split.rs
+++ b/crates/query/src/split.rs
@@ -1,14 +1,15 @@
-//! Many commands in one text.
+//! Splits a text into commands.
 
-/// Splits a text at each `;` and new line outside quotes and comments, and leaves out what holds
-/// no command. An open quote keeps the rest of the text together, so that its error is reported.
+/// Splits a text at each `;` and newline outside quotes and comments, and omits parts without a
+/// command. After an unclosed quote the rest of the text stays in one part, so that the parser
+/// reports the error.
 pub fn split(text: &str) -> Vec<&str> {
     let mut parts = Vec::new();
     let mut start = 0;
     let mut state = State::Plain;
     let mut previous = ' ';
     for (offset, character) in text.char_indices() {
-        let next = state.after(previous, character);
+        let next = state.next(previous, character);
         if next == State::Ended {
             parts.push(&text[start..offset]);
             start = offset + character.len_utf8();
@@ -21,11 +22,11 @@
         previous = character;
     }
     parts.push(&text[start..]);
-    parts.retain(|part| holds_command(part));
+    parts.retain(|part| contains_command(part));
     parts
 }
 
-/// Where in a text a character stands.
+/// Lexical context of a character.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum State {
     Plain,
@@ -37,7 +38,7 @@
 }
 
 impl State {
-    fn after(self, previous: char, character: char) -> Self {
+    fn next(self, previous: char, character: char) -> Self {
         match (self, character) {
             (Self::Quoted, '\'') => Self::Plain,
             (Self::Quoted, _) => Self::Quoted,
@@ -53,7 +54,7 @@
     }
 }
 
-fn holds_command(part: &str) -> bool {
+fn contains_command(part: &str) -> bool {
     let part = part.trim();
     !part.is_empty() && !part.starts_with("--")
 }
--- a/crates/query/src/table.rs
+++ b/crates/query/src/table.rs
@@ -1,17 +1,17 @@
-//! The tables that `show` reads and their fields.
+//! Tables of the language and their fields.
 
-/// What a field holds.
+/// The type of a field.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FieldKind {
-    /// Any text.
+    /// Arbitrary text.
     Text,
-    /// One of some words.
+    /// One of a fixed set of words.
     State(&'static [&'static str]),
     /// A number.
     Number,
     /// A size in bytes.
     Size,
-    /// A time in milliseconds.
+    /// A duration in milliseconds.
     Duration,
     /// True or false.
     Flag,
@@ -20,9 +20,9 @@
 /// A field of a table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Field {
-    /// Its name, as in a `where` clause and in the answer.
+    /// Name of the field, in `where` clauses and in results.
     pub name: &'static str,
-    /// What it holds.
+    /// Type of the field.
     pub kind: FieldKind,
 }
 
@@ -38,12 +38,12 @@
             /// Every table.
             pub const ALL: &'static [Self] = &[ $( Self::$table, )* ];
 
-            /// Its name in the language.
-            pub fn word(self) -> &'static str {
+            /// Keyword of the table in the language.
+            pub fn keyword(self) -> &'static str {
                 match self { $( Self::$table => $word, )* }
             }
 
-            /// Its fields, in the order shown.
+            /// Fields of the table, in display order.
             pub fn fields(self) -> &'static [Field] {
                 use FieldKind::{Duration, Flag, Number, Size, State, Text};
                 match self {
@@ -55,7 +55,7 @@
 }
 
 tables! {
-    /// Models, their state and what waits for them.
+    /// Models, their state and their queued requests.
     Models "models" {
         "name" Text, "state" State(&["ready", "loading", "waiting", "idle", "failing"]),
         "serving" Text, "ready" Number, "loading" Number, "at_least" Number, "at_most" Number,
@@ -68,7 +68,7 @@
         "state" State(&["loading", "ready", "unloading", "failed"]),
         "memory" Size, "outstanding" Number,
     }
-    /// Machines with a model engine or a plain service.
+    /// Machines that run a model engine or a plain service.
     Runners "runners" {
         "name" Text, "zone" Text, "address" Text, "service" Text,
         "state" State(&["ready", "leaving", "drained", "unreachable"]),
@@ -80,13 +80,13 @@
         "state" State(&["alive", "suspect", "left", "dead"]),
         "coordinator" Flag, "requests" Number, "revision" Number,
     }
-    /// Requests that wait or run.
+    /// Waiting and running requests.
     Requests "requests" {
         "id" Text, "model" Text, "daemon" Text, "zone" Text,
         "state" State(&["waiting", "running"]),
         "runner" Text, "priority" Number, "age" Duration, "time_left" Duration,
     }
-    /// Zones and who coordinates them.
+    /// Zones and their coordinators.
     Zones "zones" {
         "name" Text, "coordinator" Text, "term" Number, "daemons" Number, "runners" Number,
         "memory" Size, "used" Size,
@@ -105,20 +105,20 @@
     Services "services" {
         "name" Text, "concurrency" Number, "machines" Number, "running" Number, "version" Number,
     }
-    /// How the copies allowed are split among zones; a row for each zone.
+    /// Distribution of the allowed copies among zones; one row per zone.
     Quotas "quotas" {
         "subject" Text, "zone" Text, "units" Number, "wanted" Number, "limit" Number,
         "version" Number,
     }
-    /// Machines that operators have drained.
+    /// Machines drained by operators.
     Drains "drains" { "name" Text, "reason" Text, "version" Number }
-    /// The region's policy; one row, with version 0 while it has never been changed.
+    /// The region's policy; one row, with version 0 until its first change.
     Policy "policy" {
         "cold_start_weight" Number, "weight_store_parallel" Number,
         "weight_store_per_second" Number, "keep_alive_min" Duration, "keep_alive_max" Duration,
         "version" Number,
     }
-    /// Which revision of the configuration is in force at which daemon.
+    /// Configuration revision in force at each daemon.
     Config "config" { "daemon" Text, "zone" Text, "revision" Number }
     /// Decisions recorded about a model; read by `explain`, newest first.
     Decisions "decisions" {
@@ -128,12 +128,12 @@
 }
 
 impl Table {
-    /// Whether `show` reads it; decisions are read by `explain`.
+    /// Whether `show` can read the table; decisions are read by `explain`.
     pub fn is_shown(self) -> bool {
         self != Self::Decisions
     }
 
-    /// A field by its name.
+    /// Looks up a field by name.
     pub fn field(self, name: &str) -> Option<&'static Field> {
         self.fields().iter().find(|field| field.name == name)
     }
--- a/crates/query/src/token.rs
+++ b/crates/query/src/token.rs
@@ -1,4 +1,4 @@
-//! Text to tokens.
+//! Splits text into tokens.
 
 use winnow::combinator::{alt, delimited, preceded, repeat, terminated};
 use winnow::error::EmptyError;
@@ -8,22 +8,22 @@
 
 use crate::error::SyntaxError;
 
-/// What a token is.
+/// The kind of a token.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum TokenKind {
-    /// A keyword, name, number, size or time.
+    /// A keyword, name, number, size or duration.
     Word(String),
-    /// A text between quotes.
+    /// A quoted string.
     Text(String),
-    /// An operator or punctuation.
+    /// An operator or a punctuation mark.
     Symbol(&'static str),
-    /// End of a command: `;` or a new line.
+    /// End of a command: `;` or a newline.
     Separator,
-    /// Nothing follows.
+    /// End of the input.
     EndOfInput,
 }
 
-/// A token and where it starts, in bytes.
+/// A token with its byte offset.
 #[derive(Clone, Debug)]
 pub(crate) struct Token {
     pub(crate) kind: TokenKind,
@@ -31,9 +31,9 @@
 }
 
 type Source<'a> = LocatingSlice<&'a str>;
-type Lexed<T> = Result<T, EmptyError>;
+type LexResult<T> = Result<T, EmptyError>;
 
-/// Splits a text into tokens; the last is always [`TokenKind::EndOfInput`].
+/// Splits a text into tokens; the last one is always [`TokenKind::EndOfInput`].
 pub(crate) fn tokenize(text: &str) -> Result<Vec<Token>, SyntaxError> {
     let mut source = LocatingSlice::new(text);
     let mut tokens: Vec<Token> = lex(&mut source).unwrap_or_default();
@@ -61,23 +61,23 @@
     }
 }
 
-fn lex(source: &mut Source) -> Lexed<Vec<Token>> {
-    preceded(blank, repeat(0.., terminated(token, blank))).parse_next(source)
+fn lex(source: &mut Source) -> LexResult<Vec<Token>> {
+    preceded(whitespace, repeat(0.., terminated(token, whitespace))).parse_next(source)
 }
 
-/// Skips blanks and comments, but no new line.
-fn blank(source: &mut Source) -> Lexed<()> {
+/// Skips whitespace and comments, but not newlines.
+fn whitespace(source: &mut Source) -> LexResult<()> {
     let spaces = take_while(1.., [' ', '\t', '\r']).void();
     let comment = ("--", take_while(0.., |character| character != '\n')).void();
     repeat(0.., alt((spaces, comment))).parse_next(source)
 }
 
-fn token(source: &mut Source) -> Lexed<Token> {
+fn token(source: &mut Source) -> LexResult<Token> {
     let start = source.current_token_start();
     kind.map(|kind| Token { kind, start }).parse_next(source)
 }
 
-fn kind(source: &mut Source) -> Lexed<TokenKind> {
+fn kind(source: &mut Source) -> LexResult<TokenKind> {
     alt((
         word.map(TokenKind::Word),
         quoted.map(TokenKind::Text),
@@ -87,7 +87,7 @@
     .parse_next(source)
 }
 
-fn word(source: &mut Source) -> Lexed<String> {
+fn word(source: &mut Source) -> LexResult<String> {
     let first = one_of(|character: char| character.is_ascii_alphanumeric());
     let rest = take_while(0.., |character: char| {
         character.is_ascii_alphanumeric() || matches!(character, '-' | '_' | '.')
@@ -95,13 +95,13 @@
     (first, rest).take().map(str::to_owned).parse_next(source)
 }
 
-/// A text between quotes; a quote inside is written twice.
-fn quoted(source: &mut Source) -> Lexed<String> {
+/// Parses a quoted string; a quote inside it is escaped by doubling it.
+fn quoted(source: &mut Source) -> LexResult<String> {
     let character = alt((none_of('\''), "''".value('\'')));
     delimited('\'', repeat(0.., character), '\'').parse_next(source)
 }
 
-fn symbol(source: &mut Source) -> Lexed<&'static str> {
+fn symbol(source: &mut Source) -> LexResult<&'static str> {
     alt((
         "!=".value("!="),
         "<=".value("<="),
--- a/crates/query/tests/errors.rs
+++ b/crates/query/tests/errors.rs
@@ -1,9 +1,9 @@
-//! Where errors point, what they expect and what they suggest.
+//! Position, expectations and suggestion of syntax errors.
 
 use flaxward_query::{Position, parse};
 
-/// Command, line and column, one of the things expected, and the suggestion if any; `\n` is a new
-/// line.
+/// Command, line and column, one of the expectations, and the suggestion if any. `\n` stands for a
+/// newline.
 const CASES: &str = r"
  | 1:1 | `show` |
 shwo models | 1:1 | `show` | show
@@ -44,21 +44,21 @@
 ";
 
 #[test]
-fn errors_point_at_the_place_and_say_what_is_expected() {
+fn errors_report_position_expectation_and_suggestion() {
     for case in CASES.trim_start_matches('\n').lines() {
         let mut cells = case
             .split(" |")
             .map(|cell| cell.strip_prefix(' ').unwrap_or(cell));
         let mut cell = || cells.next().expect("a cell");
         let text = cell().replace("\\n", "\n");
-        let place = cell();
+        let position = cell();
         let expected = cell();
         let suggestion = Some(cell()).filter(|word| !word.is_empty());
         let error = parse(&text).expect_err(&text);
         let Position { line, column } = error.position;
-        assert_eq!(format!("{line}:{column}"), place, "{error}");
+        assert_eq!(format!("{line}:{column}"), position, "{error}");
         assert!(
-            error.expected.iter().any(|one| one == expected),
+            error.expected.iter().any(|phrase| phrase == expected),
             "{case}\n{error}"
         );
         assert_eq!(error.suggestion.as_deref(), suggestion, "{error}");
@@ -66,8 +66,8 @@
 }
 
 #[test]
-fn the_message_shows_a_caret_under_the_place() {
-    let error = parse("-- first\nshow modles").expect_err("a slip");
+fn the_message_shows_a_caret_under_the_error_position() {
+    let error = parse("-- first\nshow modles").expect_err("a misspelled table");
     let message = error.to_string();
     let lines: Vec<&str> = message.lines().collect();
     assert!(lines[0].starts_with("line 2, column 6: found `modles`, expected `models`, "));
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn only_what_is_expected_at_the_furthest_place_is_named() {
+fn only_expectations_at_the_furthest_token_are_reported() {
     for (text, expected) in [
         ("explain m", vec!["`model`"]),
         (
--- a/crates/query/tests/language.rs
+++ b/crates/query/tests/language.rs
@@ -1,4 +1,5 @@
-//! The language as a whole: what is printed parses back, no text panics, many commands split.
+//! Properties of the language: printed commands parse back, no input panics, and texts split into
+//! commands.
 
 use std::time::Duration;
 
@@ -20,16 +21,18 @@
 const SEED: u64 = 0x0f1a_c5a4;
 
 fn config(cases: u32) -> ProptestConfig {
-    let more = std::env::var("FLAXWARD_PROPTEST_CASES").ok();
+    let case_count = std::env::var("FLAXWARD_PROPTEST_CASES").ok();
     ProptestConfig {
-        cases: more.and_then(|text| text.parse().ok()).unwrap_or(cases),
+        cases: case_count
+            .and_then(|text| text.parse().ok())
+            .unwrap_or(cases),
         rng_seed: RngSeed::Fixed(SEED),
         failure_persistence: None,
         ..ProptestConfig::default()
     }
 }
 
-/// Names, among them words of the language.
+/// Names, some of which are keywords of the language.
 fn name<T: std::str::FromStr + std::fmt::Debug>() -> impl Strategy<Value = T>
 where
     T::Err: std::fmt::Debug,
@@ -129,7 +132,9 @@
     })
 }
 
-fn some_of<T: Clone + std::fmt::Debug + 'static>(all: Vec<T>) -> impl Strategy<Value = Vec<T>> {
+fn non_empty_subset<T: Clone + std::fmt::Debug + 'static>(
+    all: Vec<T>,
+) -> impl Strategy<Value = Vec<T>> {
     let count = all.len();
     subsequence(all, 1..=count).prop_shuffle()
 }
@@ -153,7 +158,7 @@
 
 fn model_settings() -> impl Strategy<Value = Vec<ModelSetting>> {
     model_spec().prop_flat_map(|spec| {
-        some_of(vec![
+        non_empty_subset(vec![
             ModelSetting::Serving(spec.serving),
             ModelSetting::AtMost(spec.copies.at_most),
             ModelSetting::AtLeast(spec.copies.at_least),
@@ -167,13 +172,13 @@
 fn policy_settings() -> impl Strategy<Value = Vec<PolicySetting>> {
     let millis = || duration().prop_map(|duration| duration.as_millis() as u64);
     (number(), any::<u32>(), number(), millis(), millis()).prop_flat_map(
-        |(weight, parallel, rate, shortest, longest)| {
-            some_of(vec![
+        |(weight, parallel, rate, min, max)| {
+            non_empty_subset(vec![
                 PolicySetting::ColdStartWeight(weight),
                 PolicySetting::WeightStoreParallel(parallel),
                 PolicySetting::WeightStorePerSecond(rate),
-                PolicySetting::KeepAliveMin(shortest),
-                PolicySetting::KeepAliveMax(longest),
+                PolicySetting::KeepAliveMin(min),
+                PolicySetting::KeepAliveMax(max),
             ])
         },
     )
@@ -269,20 +274,20 @@
     #![proptest_config(config(2_000))]
 
     #[test]
-    fn what_is_printed_parses_back(command in command()) {
+    fn printed_commands_parse_back(command in command()) {
         let text = command.to_string();
         prop_assert_eq!(parse(&text).map_err(|error| error.to_string()), Ok(command));
     }
 
     #[test]
-    fn many_commands_split_into_each(commands in prop::collection::vec(command(), 0..4)) {
+    fn a_text_splits_into_its_commands(commands in prop::collection::vec(command(), 0..4)) {
         let text: String = commands.iter().map(|command| format!(" {command} -- it's;\n;")).collect();
         let parsed: Vec<_> = split(&text).into_iter().map(parse).collect();
         prop_assert_eq!(parsed, commands.into_iter().map(Ok).collect::<Vec<_>>());
     }
 
     #[test]
-    fn no_text_panics(text in any::<String>()) {
+    fn arbitrary_text_does_not_panic(text in any::<String>()) {
         let _ = parse(&text).map_err(|error| error.to_string());
         for part in split(&text) {
             let _ = parse(part);
@@ -290,11 +295,11 @@
     }
 
     #[test]
-    fn no_damaged_command_panics(command in command(), at in any::<prop::sample::Index>(), junk in "\\PC{0,3}") {
+    fn corrupted_commands_do_not_panic(command in command(), at in any::<prop::sample::Index>(), replacement in "\\PC{0,3}") {
         let text = command.to_string();
         let mut characters: Vec<char> = text.chars().collect();
         let index = at.index(characters.len());
-        characters.splice(index..=index, junk.chars());
+        characters.splice(index..=index, replacement.chars());
         let text: String = characters.into_iter().collect();
         if let Err(error) = parse(&text) {
             prop_assert!(!error.expected.is_empty(), "{}", error);
@@ -304,7 +309,7 @@
 }
 
 #[test]
-fn a_long_list_is_read_in_a_moment() {
+fn a_long_setting_list_is_rejected_without_excessive_backtracking() {
     let text = format!("change model m set {}", "in zones a, ".repeat(20_000));
     assert!(parse(&text).is_err());
 }
--- a/crates/query/tests/plan.rs
+++ b/crates/query/tests/plan.rs
@@ -1,4 +1,4 @@
-//! Which changes are planned, which are refused and why.
+//! Planned writes and refusals of changes.
 
 use flaxward_control::configuration::Configuration;
 use flaxward_query::{Command, Edit, Rejection, Step, Write, parse, plan};
@@ -7,11 +7,12 @@
 fn change(text: &str) -> flaxward_query::Change {
     match parse(text).unwrap_or_else(|error| panic!("{error}")) {
         Command::Change(change) => change,
-        other => panic!("{other:?} is no change"),
+        other => panic!("{other:?} is not a change"),
     }
 }
 
-/// Model `m` serves `v1` at version 3; `v2` is spare; adapter `a`; service `s`; machine `r` drained.
+/// Model `m` serves `v1` at version 3; `v2` is not serving; adapter `a`; service `s`; machine
+/// `r` drained.
 fn configuration() -> Configuration {
     let commands = [
         "create version m@v1 checkpoint 'm/1' weights 16GiB kv 4GiB",
@@ -25,7 +26,7 @@
         let change = change(text);
         match change.edit {
             Edit::Create(item) => (change.key, Revision(version), item),
-            other => panic!("{other:?} creates nothing"),
+            other => panic!("{other:?} is not a create edit"),
         }
     });
     Configuration::new(Revision(6), items)
@@ -157,13 +158,13 @@
         );
         let found = rejection.refusal.text();
         assert!(found.contains(detail), "{text}: {found}");
-        let conflicting = matches!(code, VersionConflict | ObjectExists);
-        assert_eq!(rejection.current.is_some(), conflicting, "{text}");
+        let is_conflict = matches!(code, VersionConflict | ObjectExists);
+        assert_eq!(rejection.current.is_some(), is_conflict, "{text}");
     }
 }
 
 #[test]
-fn a_change_keeps_what_it_does_not_name() {
+fn a_change_keeps_settings_that_it_does_not_name() {
     let steps = planned("change model m set serving v2, in zones z, at most 2 if version 3");
     let steps = steps.expect("a plan");
     let [Step { key, write }] = steps.as_slice() else {
@@ -198,7 +199,7 @@
 }
 
 #[test]
-fn a_model_goes_with_all_in_an_order_that_is_valid_at_each_step() {
+fn remove_with_all_orders_steps_so_that_each_leaves_a_valid_configuration() {
     let steps = planned("remove model m with all").expect("a plan");
     let keys: Vec<String> = steps.iter().map(|step| step.key.to_string()).collect();
     assert_eq!(
