--- a/crates/operators/src/answer.rs
+++ b/crates/operators/src/answer.rs
@@ -1,14 +1,14 @@
-//! The answer to a command.
+//! Command results.
 
 use flaxward_query::{Field, FieldKind, Table};
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
 
-/// What a column holds, for those who print it.
+/// The value type of a column, which determines how it is printed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ColumnKind {
-    /// A text.
+    /// A string.
     Text,
     /// A number.
     Number,
@@ -16,16 +16,16 @@
     Size,
     /// A time in milliseconds.
     Duration,
-    /// True or false.
+    /// A boolean.
     Flag,
 }
 
-/// A column of an answer.
+/// A column of a result table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Column {
-    /// Its name, also the key in each row.
+    /// Column name, also the key in each row.
     pub name: String,
-    /// What it holds.
+    /// Type of its values.
     pub kind: ColumnKind,
 }
 
@@ -45,20 +45,20 @@
     }
 }
 
-/// The answer to a command.
+/// The result of a command.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Answer {
-    /// The columns, in the order to show; none for a change.
+    /// Columns in display order; empty for a change.
     pub columns: Vec<Column>,
-    /// The rows; each has every column.
+    /// Rows; each has a value for every column.
     pub rows: Vec<Map<String, Value>>,
-    /// What was done, or how many rows there are.
+    /// The changes made, or the number of rows.
     pub message: String,
 }
 
 impl Answer {
-    /// Rows of a table.
-    pub(crate) fn of_table(table: Table, rows: Vec<Map<String, Value>>) -> Self {
+    /// Creates the result of a query.
+    pub(crate) fn from_rows(table: Table, rows: Vec<Map<String, Value>>) -> Self {
         let noun = if rows.len() == 1 { "row" } else { "rows" };
         Self {
             columns: table.fields().iter().map(Column::from).collect(),
@@ -67,8 +67,8 @@
         }
     }
 
-    /// What was done.
-    pub(crate) fn of_change(message: String) -> Self {
+    /// Creates the result of a change.
+    pub(crate) fn from_change(message: String) -> Self {
         Self {
             message,
             ..Self::default()
--- a/crates/operators/src/client/connection.rs
+++ b/crates/operators/src/client/connection.rs
@@ -1,4 +1,4 @@
-//! One command to a daemon and its answer.
+//! Sends commands to a daemon over HTTP.
 
 use std::time::Duration;
 
@@ -9,27 +9,27 @@
 use crate::error::{ErrorBody, OperatorError};
 use crate::http::QUERY_PATH;
 
-/// Longest time to wait for a connection.
+/// Maximum time to establish a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Longest time to wait for an answer.
-const ANSWER_TIMEOUT: Duration = Duration::from_mins(1);
+/// Maximum time for a request, including its response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// A daemon that takes commands.
+/// A client for one daemon's command endpoint.
 pub struct Connection {
     client: Client,
     url: String,
 }
 
 impl Connection {
-    /// Names a daemon by its address, `ip:port`.
+    /// Creates a client for the daemon at `address`, given as `ip:port`.
     ///
     /// # Errors
     /// Fails if the HTTP client cannot be set up.
     pub fn new(address: &str) -> reqwest::Result<Self> {
         let client = Client::builder()
             .connect_timeout(CONNECT_TIMEOUT)
-            .timeout(ANSWER_TIMEOUT)
+            .timeout(RESPONSE_TIMEOUT)
             .build()?;
         Ok(Self {
             client,
@@ -37,39 +37,43 @@
         })
     }
 
-    /// Sends one command, once.
+    /// Sends one command, without retries.
     ///
     /// # Errors
-    /// Gives the daemon's error, or says that it could not be reached (certainly not run) or that
-    /// its answer was lost (outcome unknown).
+    /// Returns the daemon's error, or reports that the daemon could not be reached (the command
+    /// definitely did not run) or that its response was lost (the outcome is unknown).
     pub async fn execute(&self, command: &str) -> Result<Answer, Box<ErrorBody>> {
         let request = self.client.post(&self.url).body(command.to_owned());
         let response = match request.send().await {
             Ok(response) => response,
             Err(error) if error.is_connect() || error.is_builder() => {
-                return Err(failure(ResultCode::BackendUnreachable, &error));
+                return Err(error_body(ResultCode::BackendUnreachable, &error));
             }
-            Err(error) => return Err(failure(ResultCode::ChangeOutcomeUnknown, &error)),
+            Err(error) => return Err(error_body(ResultCode::ChangeOutcomeUnknown, &error)),
         };
-        read(response).await
+        decode_response(response).await
     }
 }
 
-async fn read(response: Response) -> Result<Answer, Box<ErrorBody>> {
-    let accepted = response.status().is_success();
-    let lost = |error: &dyn std::error::Error| failure(ResultCode::ChangeOutcomeUnknown, error);
-    let body = response.bytes().await.map_err(|error| lost(&error))?;
-    if accepted {
-        return serde_json::from_slice(&body).map_err(|error| lost(&error));
+async fn decode_response(response: Response) -> Result<Answer, Box<ErrorBody>> {
+    let is_success = response.status().is_success();
+    let outcome_unknown =
+        |error: &dyn std::error::Error| error_body(ResultCode::ChangeOutcomeUnknown, error);
+    let body = response
+        .bytes()
+        .await
+        .map_err(|error| outcome_unknown(&error))?;
+    if is_success {
+        return serde_json::from_slice(&body).map_err(|error| outcome_unknown(&error));
     }
     match serde_json::from_slice(&body) {
         Ok(error) => Err(Box::new(error)),
-        Err(error) => Err(lost(&error)),
+        Err(error) => Err(outcome_unknown(&error)),
     }
 }
 
-fn failure(code: ResultCode, error: &dyn std::error::Error) -> Box<ErrorBody> {
-    let detail = format!("the daemon's answer cannot be had: {error}");
+fn error_body(code: ResultCode, error: &dyn std::error::Error) -> Box<ErrorBody> {
+    let detail = format!("no valid response from the daemon: {error}");
     let refusal = Refusal::new(code).with_detail(detail);
     Box::new(ErrorBody::from(&OperatorError::from(refusal)))
 }
--- a/crates/operators/src/client/lines.rs
+++ b/crates/operators/src/client/lines.rs
@@ -1,23 +1,23 @@
-//! Lines from a terminal or a pipe.
+//! Line input from a terminal or a pipe.
 
 use std::io::{self, BufRead};
 
 use rustyline::DefaultEditor;
 use rustyline::error::ReadlineError;
 
-/// What a terminal shows before each line.
+/// Prompt shown at a terminal.
 const PROMPT: &str = "flaxward> ";
 
-/// Gives lines, blocking until there is one; `None` at the end.
+/// A blocking source of input lines; returns `None` at end of input.
 pub trait LineSource: Send + 'static {
-    /// The next line.
+    /// Reads the next line.
     ///
     /// # Errors
     /// Fails if the source cannot be read.
     fn next_line(&mut self) -> anyhow::Result<Option<String>>;
 }
 
-/// Lines from standard input that is no terminal.
+/// Reads lines from standard input when it is not a terminal.
 pub struct PipedLines;
 
 impl LineSource for PipedLines {
@@ -28,7 +28,7 @@
     }
 }
 
-/// Lines from a terminal, with a history that is kept in memory only.
+/// Reads lines from a terminal, with an in-memory history.
 pub struct TerminalLines {
     editor: DefaultEditor,
 }
@@ -59,12 +59,12 @@
     }
 }
 
-/// The next line, read on a thread of its own so that it holds up no other task.
-pub(super) async fn next<L: LineSource>(mut lines: L) -> anyhow::Result<(L, Option<String>)> {
-    let reading = tokio::task::spawn_blocking(move || {
+/// Reads the next line on a blocking thread, so that it does not block the async runtime.
+pub(super) async fn read_line<L: LineSource>(mut lines: L) -> anyhow::Result<(L, Option<String>)> {
+    let read_task = tokio::task::spawn_blocking(move || {
         let line = lines.next_line();
         (lines, line)
     });
-    let (lines, line) = reading.await?;
+    let (lines, line) = read_task.await?;
     Ok((lines, line?))
 }
--- a/crates/operators/src/client/mod.rs
+++ b/crates/operators/src/client/mod.rs
@@ -20,44 +20,44 @@
 /// How answers are printed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Format {
-    /// A table for people.
+    /// A human-readable table.
     #[default]
     Table,
-    /// A line of JSON for each command.
+    /// One line of JSON per command.
     Json,
 }
 
-/// What `flaxward query` is told on its command line.
+/// Command-line options of `flaxward query`.
 #[derive(Clone, Debug)]
 pub struct QueryOptions {
     /// Address of any daemon, `ip:port`.
     pub address: String,
-    /// Commands, separated by `;`; from standard input if not given.
+    /// Commands, separated by `;`; read from standard input if absent.
     pub commands: Option<String>,
     /// How answers are printed.
     pub format: Format,
 }
 
-/// Where answers and errors go.
+/// A client session with its output streams.
 pub struct Session<'a> {
-    /// The daemon.
+    /// Connection to the daemon.
     pub connection: Connection,
     /// How answers are printed.
     pub format: Format,
-    /// Takes answers.
+    /// Receives answers.
     pub output: &'a mut (dyn Write + Send),
-    /// Takes errors.
+    /// Receives errors.
     pub errors: &'a mut (dyn Write + Send),
 }
 
 /// Runs `flaxward query`. Answers go to standard output and errors, as JSON, to standard error.
-/// Given commands or a pipe, it stops at the first that fails, and the exit code says why; at a
-/// terminal it goes on.
+/// With commands from the options or a pipe, it stops at the first failure, and the exit code gives
+/// the cause; at a terminal it continues.
 pub async fn run_query(options: QueryOptions) -> ExitCode {
     match run(options).await {
         Ok(code) => ExitCode::from(code),
         Err(error) => {
-            // Standard output or input is gone; standard error is the last place to say so.
+            // Standard input or output has failed; an error on standard error cannot be reported.
             let _ = writeln!(io::stderr(), "{error}");
             ExitCode::FAILURE
         }
@@ -81,7 +81,7 @@
 }
 
 impl Session<'_> {
-    /// Runs every command of a text, up to the first that fails; answers the exit code.
+    /// Runs the commands in `text` up to the first failure; returns the exit code.
     ///
     /// # Errors
     /// Fails if an answer or error cannot be printed.
@@ -89,19 +89,19 @@
         for command in split(text) {
             match self.connection.execute(command).await {
                 Ok(answer) => self.print(&answer)?,
-                Err(body) => return self.fail(&body),
+                Err(body) => return self.report_failure(&body),
             }
         }
         Ok(EXIT_OK)
     }
 
-    /// Runs lines up to the first command that fails.
+    /// Runs input lines up to the first command that fails.
     ///
     /// # Errors
     /// Fails if a line cannot be read or an answer cannot be printed.
     pub async fn run_pipe<L: LineSource>(&mut self, mut lines: L) -> anyhow::Result<u8> {
         loop {
-            let (source, line) = lines::next(lines).await?;
+            let (source, line) = lines::read_line(lines).await?;
             let Some(line) = line else {
                 return Ok(EXIT_OK);
             };
@@ -115,7 +115,7 @@
 
     async fn run_terminal<L: LineSource>(&mut self, mut lines: L) -> anyhow::Result<u8> {
         loop {
-            let (source, line) = lines::next(lines).await?;
+            let (source, line) = lines::read_line(lines).await?;
             let Some(line) = line else {
                 return Ok(EXIT_OK);
             };
@@ -124,18 +124,18 @@
         }
     }
 
-    /// Runs the commands of a line typed by a person, who sees errors as text.
+    /// Runs the commands of an interactive line, with errors printed as text.
     async fn run_line(&mut self, line: &str) -> io::Result<()> {
         for command in split(line) {
             match self.connection.execute(command).await {
                 Ok(answer) => self.print(&answer)?,
-                Err(body) => self.explain(&body.error)?,
+                Err(body) => self.print_error(&body.error)?,
             }
         }
         Ok(())
     }
 
-    fn explain(&mut self, error: &ErrorDetail) -> io::Result<()> {
+    fn print_error(&mut self, error: &ErrorDetail) -> io::Result<()> {
         let ErrorDetail {
             code,
             name,
@@ -153,7 +153,7 @@
         writeln!(self.output, "{text}")
     }
 
-    fn fail(&mut self, body: &ErrorBody) -> io::Result<u8> {
+    fn report_failure(&mut self, body: &ErrorBody) -> io::Result<u8> {
         writeln!(self.errors, "{}", serde_json::to_string(body)?)?;
         let code = body.error.result_code();
         Ok(exit_code(code.unwrap_or(ResultCode::Internal)))
--- a/crates/operators/src/error.rs
+++ b/crates/operators/src/error.rs
@@ -1,25 +1,25 @@
-//! Errors of commands, inside and as JSON.
+//! Command errors and their JSON representation.
 
 use flaxward_query::{Current, Position, Rejection, SyntaxError};
 use flaxward_types::{Refusal, ResultCode};
 use serde::{Deserialize, Serialize};
 
-/// Why a command was not carried out, or not wholly.
+/// Why a command failed, in full or in part.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("{refusal}")]
 pub struct OperatorError {
-    /// The numbered code and what exactly.
+    /// The result code and its detail.
     pub refusal: Refusal,
-    /// Where in the command, if it cannot be read.
+    /// Position of the syntax error, if the command cannot be parsed.
     pub position: Option<Position>,
-    /// What the winner wrote, if another operator came first.
+    /// The stored state, if a concurrent change caused a conflict.
     pub current: Option<Current>,
-    /// Steps that were carried out before the failure.
+    /// Steps completed before the failure.
     pub done: Vec<String>,
 }
 
 impl OperatorError {
-    /// Whether the command certainly changed nothing.
+    /// Whether the command definitely changed nothing.
     pub fn not_run(&self) -> bool {
         self.done.is_empty() && self.refusal.code.not_run()
     }
@@ -55,35 +55,35 @@
     }
 }
 
-/// An error as JSON.
+/// JSON body of an error response.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ErrorBody {
     /// The error.
     pub error: ErrorDetail,
 }
 
-/// What an error says.
+/// The contents of an error response.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ErrorDetail {
     /// The number of the result code.
     pub code: u16,
     /// The name of the result code.
     pub name: String,
-    /// What exactly is wrong.
+    /// Description of the error.
     pub message: String,
-    /// Whether the command certainly changed nothing.
+    /// Whether the command definitely changed nothing.
     pub not_run: bool,
-    /// Where in the command, if it cannot be read.
+    /// Position of the syntax error, if the command cannot be parsed.
     pub position: Option<Position>,
-    /// What stands there now, if another operator came first.
+    /// The stored state, if a concurrent change caused a conflict.
     pub current: Option<Current>,
-    /// Steps that were carried out before the failure.
+    /// Steps completed before the failure.
     #[serde(default)]
     pub done: Vec<String>,
 }
 
 impl ErrorDetail {
-    /// The result code, if this program knows it.
+    /// The result code, if this build recognizes it.
     pub fn result_code(&self) -> Option<ResultCode> {
         let mut codes = ResultCode::ALL.iter().copied();
         codes.find(|code| code.number() == self.code)
--- a/crates/operators/src/executor.rs
+++ b/crates/operators/src/executor.rs
@@ -1,4 +1,4 @@
-//! Carries out one command.
+//! Parses and executes commands.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -15,22 +15,22 @@
 use crate::store;
 use crate::views::Views;
 
-/// Carries out commands, for any number of operators at once.
+/// Executes operator commands; safe for concurrent use.
 pub struct Executor {
     store: Arc<dyn ObjectApi>,
     views: Arc<dyn Views>,
 }
 
 impl Executor {
-    /// Changes go to `store`, which settles lost answers itself; reads come from `views`.
+    /// Changes go to `store`, which resolves lost responses itself; queries read from `views`.
     pub fn new(store: Arc<dyn ObjectApi>, views: Arc<dyn Views>) -> Self {
         Self { store, views }
     }
 
-    /// Carries out one command.
+    /// Executes one command.
     ///
     /// # Errors
-    /// Says why it was not carried out, or not wholly.
+    /// Returns why the command failed, in full or in part.
     pub async fn execute(&self, text: &str) -> Result<Answer, OperatorError> {
         match parse(text)? {
             Command::Show(show) => Ok(self.show(&show).await?),
@@ -40,43 +40,43 @@
     }
 
     async fn show(&self, show: &Show) -> Result<Answer, Refusal> {
-        let rows = self.rows(show.table).await?;
-        Ok(Answer::of_table(show.table, filter::select(show, rows)))
+        let rows = self.fetch_rows(show.table).await?;
+        Ok(Answer::from_rows(show.table, filter::select(show, rows)))
     }
 
-    async fn rows(&self, table: Table) -> Result<Vec<Map<String, Value>>, Refusal> {
+    async fn fetch_rows(&self, table: Table) -> Result<Vec<Map<String, Value>>, Refusal> {
         let views = &self.views;
         match table {
-            Table::Models => maps(views.models().await?),
-            Table::Replicas => maps(views.replicas().await?),
-            Table::Runners => maps(views.runners().await?),
-            Table::Daemons => maps(views.daemons().await?),
-            Table::Requests => maps(views.requests().await?),
-            Table::Zones => maps(views.zones().await?),
-            Table::Adapters => maps(views.adapters().await?),
-            Table::Versions => maps(views.versions().await?),
-            Table::Services => maps(views.services().await?),
-            Table::Quotas => maps(views.quotas().await?),
-            Table::Drains => maps(views.drains().await?),
-            Table::Policy => maps(views.policy().await?),
-            Table::Config => maps(views.config().await?),
+            Table::Models => encode_rows(views.models().await?),
+            Table::Replicas => encode_rows(views.replicas().await?),
+            Table::Runners => encode_rows(views.runners().await?),
+            Table::Daemons => encode_rows(views.daemons().await?),
+            Table::Requests => encode_rows(views.requests().await?),
+            Table::Zones => encode_rows(views.zones().await?),
+            Table::Adapters => encode_rows(views.adapters().await?),
+            Table::Versions => encode_rows(views.versions().await?),
+            Table::Services => encode_rows(views.services().await?),
+            Table::Quotas => encode_rows(views.quotas().await?),
+            Table::Drains => encode_rows(views.drains().await?),
+            Table::Policy => encode_rows(views.policy().await?),
+            Table::Config => encode_rows(views.config().await?),
             Table::Decisions => Ok(Vec::new()),
         }
     }
 
     async fn explain(&self, model: &ModelName) -> Result<Answer, Refusal> {
-        let rows = maps(self.views.explain(model).await?)?;
-        Ok(Answer::of_table(Table::Decisions, rows))
+        let rows = encode_rows(self.views.explain(model).await?)?;
+        Ok(Answer::from_rows(Table::Decisions, rows))
     }
 
     async fn change(&self, change: &Change) -> Result<Answer, OperatorError> {
         let configuration = store::read(self.store.as_ref(), &change.key).await?;
         let steps = plan(change, &configuration)?;
         let mut message = self.write(&steps).await?.join("; ");
-        if let Some(warning) = self.warn_of_unknown_zones(change).await {
+        if let Some(warning) = self.unknown_zones_warning(change).await {
             message.push_str(&warning);
         }
-        Ok(Answer::of_change(message))
+        Ok(Answer::from_change(message))
     }
 
     async fn write(&self, steps: &[Step]) -> Result<Vec<String>, OperatorError> {
@@ -95,23 +95,29 @@
         Ok(done)
     }
 
-    /// A zone that no daemon sees may be a slip or may be cut off, so it is no reason to refuse.
-    async fn warn_of_unknown_zones(&self, change: &Change) -> Option<String> {
-        let named = named_zones(change);
-        if named.is_empty() {
+    /// A zone unknown to this daemon may be misspelled or partitioned, so it causes a warning
+    /// rather than a refusal.
+    async fn unknown_zones_warning(&self, change: &Change) -> Option<String> {
+        let requested = requested_zones(change);
+        if requested.is_empty() {
             return None;
         }
-        let seen = self.views.zones().await.ok()?;
-        let unseen: Vec<&str> = named
+        let known = self.views.zones().await.ok()?;
+        let unknown: Vec<&str> = requested
             .iter()
             .map(ZoneName::as_str)
-            .filter(|zone| seen.iter().all(|row| row.name != *zone))
+            .filter(|zone| known.iter().all(|row| row.name != *zone))
             .collect();
-        (!unseen.is_empty()).then(|| format!("; not seen here now: zone {}", unseen.join(", ")))
+        (!unknown.is_empty()).then(|| {
+            format!(
+                "; warning: zones not currently known to this daemon: {}",
+                unknown.join(", ")
+            )
+        })
     }
 }
 
-fn named_zones(change: &Change) -> BTreeSet<ZoneName> {
+fn requested_zones(change: &Change) -> BTreeSet<ZoneName> {
     match &change.edit {
         Edit::Create(ConfigurationItem::Model(spec)) => spec.copies.zones.clone(),
         Edit::SetModel(settings) => settings.iter().flat_map(zones_of).cloned().collect(),
@@ -127,11 +133,11 @@
     zones.into_iter().flatten()
 }
 
-fn maps<T: Serialize>(rows: Vec<T>) -> Result<Vec<Map<String, Value>>, Refusal> {
-    rows.into_iter().map(map).collect()
+fn encode_rows<T: Serialize>(rows: Vec<T>) -> Result<Vec<Map<String, Value>>, Refusal> {
+    rows.into_iter().map(encode_row).collect()
 }
 
-fn map<T: Serialize>(row: T) -> Result<Map<String, Value>, Refusal> {
+fn encode_row<T: Serialize>(row: T) -> Result<Map<String, Value>, Refusal> {
     match serde_json::to_value(row) {
         Ok(Value::Object(map)) => Ok(map),
         _ => Err(Refusal::new(ResultCode::Internal).with_detail("a row cannot be encoded")),
--- a/crates/operators/src/exit.rs
+++ b/crates/operators/src/exit.rs
@@ -2,25 +2,25 @@
 
 use flaxward_types::ResultCode;
 
-/// Every command was carried out.
+/// Every command succeeded.
 pub const EXIT_OK: u8 = 0;
 
 /// Any other failure.
 const EXIT_FAILURE: u8 = 1;
 
-/// The command cannot be read, or a value is not allowed.
+/// The command cannot be parsed, or a value is not allowed.
 const EXIT_BAD_COMMAND: u8 = 2;
 
-/// Something else stands there: another version, an object that exists, a reference.
+/// The change conflicts with the stored state: version mismatch, existing object or reference.
 const EXIT_CONFLICT: u8 = 3;
 
 /// The object does not exist.
 const EXIT_NOT_FOUND: u8 = 4;
 
-/// The daemon or the object API does not answer, or the outcome is unknown.
+/// The daemon or the object API does not respond, or the outcome is unknown.
 const EXIT_UNAVAILABLE: u8 = 5;
 
-/// The exit code that tells a script what went wrong.
+/// Maps a result code to the process exit code.
 pub fn exit_code(code: ResultCode) -> u8 {
     match code {
         ResultCode::BadCommand
--- a/crates/operators/src/filter.rs
+++ b/crates/operators/src/filter.rs
@@ -1,4 +1,4 @@
-//! `where`, `order by` and `limit`, the same for every table.
+//! Evaluates `where`, `order by` and `limit` for every table.
 
 use std::cmp::Ordering;
 
@@ -9,12 +9,12 @@
 
 type Row = Map<String, Json>;
 
-/// Keeps the rows asked for, in the order asked for, rows alike in that in the order of the columns.
-/// So every daemon answers in the same order, whichever of the others answers it first.
+/// Filters, sorts and limits rows. Ties are broken by comparing columns in table order, so that
+/// every daemon returns the same order regardless of which peer responds first.
 pub(crate) fn select(show: &Show, mut rows: Vec<Row>) -> Vec<Row> {
     rows.retain(|row| is_in_scope(row, &show.scope));
     if let Some(condition) = &show.condition {
-        rows.retain(|row| holds(row, condition));
+        rows.retain(|row| matches_condition(row, condition));
     }
     rows.sort_by(|left, right| compare_columns(left, right, show.table));
     if let Some(order) = &show.order {
@@ -27,34 +27,38 @@
 }
 
 fn is_in_scope(row: &Row, scope: &ReplicaScope) -> bool {
-    let has = |field: &str, wanted: Option<&str>| {
-        wanted.is_none_or(|wanted| row.get(field).and_then(Json::as_str) == Some(wanted))
+    let field_matches = |field: &str, expected: Option<&str>| {
+        expected.is_none_or(|expected| row.get(field).and_then(Json::as_str) == Some(expected))
     };
-    let zone = has("zone", scope.zone.as_ref().map(ZoneName::as_str));
-    let of = scope.of.as_ref().is_none_or(|reference| {
-        has("model", Some(reference.model.as_str()))
-            && has(
+    let zone = field_matches("zone", scope.zone.as_ref().map(ZoneName::as_str));
+    let target = scope.of.as_ref().is_none_or(|reference| {
+        field_matches("model", Some(reference.model.as_str()))
+            && field_matches(
                 "adapter",
                 reference.adapter.as_ref().map(AdapterName::as_str),
             )
-            && has(
+            && field_matches(
                 "release",
                 reference.version.as_ref().map(VersionName::as_str),
             )
     });
-    zone && of
+    zone && target
 }
 
-fn holds(row: &Row, condition: &Condition) -> bool {
+fn matches_condition(row: &Row, condition: &Condition) -> bool {
     let mut groups = condition.any_of.iter();
-    groups.any(|group| group.iter().all(|comparison| compares(row, comparison)))
+    groups.any(|group| {
+        group
+            .iter()
+            .all(|comparison| matches_comparison(row, comparison))
+    })
 }
 
-/// A field without a value differs from every value and compares with none.
-fn compares(row: &Row, comparison: &Comparison) -> bool {
+/// A null field satisfies only `!=`; every other comparison with it is false.
+fn matches_comparison(row: &Row, comparison: &Comparison) -> bool {
     let field = row.get(comparison.field).unwrap_or(&Json::Null);
     if comparison.operator == Operator::Like {
-        return is_like(field, &comparison.value);
+        return matches_pattern(field, &comparison.value);
     }
     let ordering = compare(field, &comparison.value);
     match comparison.operator {
@@ -68,7 +72,7 @@
     }
 }
 
-fn is_like(field: &Json, pattern: &Value) -> bool {
+fn matches_pattern(field: &Json, pattern: &Value) -> bool {
     match (field.as_str(), pattern) {
         (Some(text), Value::Text(pattern)) => WildMatch::new(pattern).matches(text),
         _ => false,
@@ -98,7 +102,7 @@
     compare_by(left, right, order.field, order.descending)
 }
 
-/// Rows without a value come last, whatever the direction.
+/// Null values sort last in either direction.
 fn compare_by(left: &Row, right: &Row, field: &str, descending: bool) -> Ordering {
     let left = left.get(field).unwrap_or(&Json::Null);
     let right = right.get(field).unwrap_or(&Json::Null);
--- a/crates/operators/src/http.rs
+++ b/crates/operators/src/http.rs
@@ -1,4 +1,4 @@
-//! Commands over HTTP.
+//! HTTP endpoint for operator commands.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,16 +12,16 @@
 use crate::error::{ErrorBody, OperatorError};
 use crate::executor::Executor;
 
-/// Path that takes commands by `POST`.
+/// Path that accepts commands by `POST`.
 pub const QUERY_PATH: &str = "operators/query";
 
-/// Longest command accepted, in bytes.
+/// Maximum size of a command, in bytes.
 pub const MAX_COMMAND_BYTES: usize = 64 * 1024;
 
-/// Longest time that a command may take to arrive.
+/// Maximum time to receive a request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Routes of the operators: `POST /operators/query` with one command as plain text.
+/// Operator routes: `POST /operators/query` with one command as plain text.
 pub fn router(executor: Arc<Executor>) -> Router {
     Router::with_path(QUERY_PATH).post(QueryHandler { executor })
 }
@@ -32,7 +32,7 @@
 
 impl QueryHandler {
     async fn answer(&self, request: &mut Request) -> Result<Answer, OperatorError> {
-        let command = command(request).await?;
+        let command = read_command(request).await?;
         self.executor.execute(&command).await
     }
 }
@@ -49,18 +49,18 @@
         match self.answer(request).await {
             Ok(answer) => response.render(Json(answer)),
             Err(error) => {
-                response.status_code(status(error.refusal.code));
+                response.status_code(http_status(error.refusal.code));
                 response.render(Json(ErrorBody::from(&error)));
             }
         }
     }
 }
 
-fn status(code: ResultCode) -> StatusCode {
+fn http_status(code: ResultCode) -> StatusCode {
     StatusCode::from_u16(code.http_status()).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR)
 }
 
-async fn command(request: &mut Request) -> Result<String, Refusal> {
+async fn read_command(request: &mut Request) -> Result<String, Refusal> {
     let body = request.payload_with_max_size(MAX_COMMAND_BYTES);
     let body = match tokio::time::timeout(BODY_TIMEOUT, body).await {
         Ok(Ok(body)) => body,
@@ -69,6 +69,7 @@
         Err(_) => return Err(Refusal::new(ResultCode::SlowSender)),
     };
     let text = std::str::from_utf8(body);
-    text.map(str::to_owned)
-        .map_err(|_| Refusal::new(ResultCode::BadBody).with_detail("the command is not UTF-8"))
+    text.map(str::to_owned).map_err(|_| {
+        Refusal::new(ResultCode::BadBody).with_detail("the command is not valid UTF-8")
+    })
 }
--- a/crates/operators/src/lib.rs
+++ b/crates/operators/src/lib.rs
@@ -1,5 +1,5 @@
-//! Carries out the operators' commands: reads from the daemon's views, changes by compare-and-swap
-//! in the object API, answers over HTTP, and the client behind `flaxward query`.
+//! Operator commands: executes queries against the daemon's views and changes by compare-and-swap
+//! in the object API, serves them over HTTP, and provides the client behind `flaxward query`.
 
 #![warn(clippy::pedantic)]
 #![allow(clippy::module_name_repetitions, clippy::must_use_candidate)]
--- a/crates/operators/src/render.rs
+++ b/crates/operators/src/render.rs
@@ -1,4 +1,4 @@
-//! Answers for people and for programs.
+//! Renders answers as tables or JSON.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 
 use crate::answer::{Answer, Column, ColumnKind};
 
-/// An answer as a table with its message below; a change has nothing but its message.
+/// Renders an answer as a table followed by its message; a change has only the message.
 pub fn render_table(answer: &Answer) -> String {
     if answer.columns.is_empty() {
         return answer.message.clone();
@@ -20,7 +20,7 @@
         let cells = answer
             .columns
             .iter()
-            .map(|column| cell(column, row.get(&column.name)));
+            .map(|column| render_cell(column, row.get(&column.name)));
         table.add_row(cells);
     }
     let lines: Vec<String> = table
@@ -30,11 +30,11 @@
     format!("{}\n{}", lines.join("\n"), answer.message)
 }
 
-fn cell(column: &Column, value: Option<&Value>) -> Cell {
+fn render_cell(column: &Column, value: Option<&Value>) -> Cell {
     let text = match value {
         None | Some(Value::Null) => "-".to_owned(),
         Some(Value::String(text)) => text.clone(),
-        Some(value) => number(column.kind, value),
+        Some(value) => render_number(column.kind, value),
     };
     let alignment = match column.kind {
         ColumnKind::Text | ColumnKind::Flag => CellAlignment::Left,
@@ -43,7 +43,7 @@
     Cell::new(text).set_alignment(alignment)
 }
 
-fn number(kind: ColumnKind, value: &Value) -> String {
+fn render_number(kind: ColumnKind, value: &Value) -> String {
     match (kind, value.as_u64()) {
         (ColumnKind::Size, Some(bytes)) => ByteSize(bytes).to_string(),
         (ColumnKind::Duration, Some(millis)) => {
@@ -53,10 +53,10 @@
     }
 }
 
-/// An answer as one line of JSON; sizes are bytes and times milliseconds.
+/// Renders an answer as one line of JSON, with sizes in bytes and times in milliseconds.
 ///
 /// # Errors
-/// Never for an answer of this crate.
+/// Never fails for an answer produced by this crate.
 pub fn render_json(answer: &Answer) -> serde_json::Result<String> {
     serde_json::to_string(answer)
 }
--- a/crates/operators/src/rows.rs
+++ b/crates/operators/src/rows.rs
@@ -1,78 +1,78 @@
-//! Rows of the tables. Their fields are those of [`flaxward_query::Table`]; a test holds the two
-//! together. Rows travel between daemons as JSON.
+//! Rows of the tables. Their fields match those of [`flaxward_query::Table`], which a test
+//! verifies. Daemons exchange rows as JSON.
 
 use serde::{Deserialize, Serialize};
 
-/// How a model stands.
+/// State of a model.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ModelState {
-    /// No replica, and nobody waits.
+    /// No replicas and no waiting requests.
     #[default]
     Idle,
-    /// A replica takes work.
+    /// At least one replica accepts requests.
     Ready,
-    /// A replica loads.
+    /// A replica is loading.
     Loading,
-    /// Requests wait and nothing loads yet.
+    /// Requests are waiting and no load has started.
     Waiting,
-    /// Its loads fail.
+    /// Loads are failing.
     Failing,
 }
 
-/// How far a replica is.
+/// State of a replica.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ReplicaState {
-    /// Weights are on their way.
+    /// Weights are being loaded.
     #[default]
     Loading,
-    /// It answers requests.
+    /// Serving requests.
     Ready,
-    /// Its requests finish, then it goes.
+    /// Finishing its requests before it is unloaded.
     Unloading,
-    /// Its load failed.
+    /// The load failed.
     Failed,
 }
 
-/// Whether a machine takes work.
+/// State of a machine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunnerState {
-    /// It does.
+    /// Accepting requests.
     #[default]
     Ready,
-    /// It is on its way out.
+    /// Being taken out of service.
     Leaving,
-    /// An operator has drained it.
+    /// Drained by an operator.
     Drained,
-    /// It does not answer.
+    /// Not responding.
     Unreachable,
 }
 
-/// Whether a daemon answers.
+/// Liveness of a daemon.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DaemonState {
-    /// It does.
+    /// Responding.
     #[default]
     Alive,
-    /// It did not answer lately.
+    /// Did not respond to recent probes.
     Suspect,
-    /// It has stopped as planned.
+    /// Stopped as planned.
     Left,
-    /// It does not answer.
+    /// Not responding.
     Dead,
 }
 
-/// Whether a request waits or runs.
+/// State of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RequestState {
-    /// It waits.
+    /// Waiting to run.
     #[default]
     Waiting,
-    /// It runs.
+    /// Running.
     Running,
 }
 
@@ -81,27 +81,27 @@
 pub struct ModelRow {
     /// Its name.
     pub name: String,
-    /// How it stands.
+    /// Its state.
     pub state: ModelState,
-    /// Version that answers requests which name none.
+    /// Version that serves requests without an explicit version.
     pub serving: String,
-    /// Replicas ready.
+    /// Ready replicas.
     pub ready: u32,
-    /// Replicas loading.
+    /// Loading replicas.
     pub loading: u32,
-    /// Replicas kept loaded.
+    /// Minimum number of loaded replicas.
     pub at_least: u32,
-    /// Replicas allowed.
+    /// Maximum number of replicas.
     pub at_most: u32,
-    /// Zones that may hold replicas, joined by commas; empty means all.
+    /// Zones allowed to hold replicas, comma-separated; empty means all.
     pub zones: String,
-    /// Requests waiting.
+    /// Waiting requests.
     pub waiting: u32,
-    /// Requests running.
+    /// Running requests.
     pub running: u32,
-    /// Its rank.
+    /// Its priority.
     pub priority: u8,
-    /// Requests waiting at one daemon, at most.
+    /// Maximum number of waiting requests per daemon.
     pub queue_limit: u32,
     /// Version of the object.
     pub version: u64,
@@ -112,7 +112,7 @@
 pub struct ReplicaRow {
     /// Its model.
     pub model: String,
-    /// Its adapter, if it is one.
+    /// Its adapter, if any.
     pub adapter: Option<String>,
     /// Version of the model.
     pub release: String,
@@ -120,11 +120,11 @@
     pub zone: String,
     /// Its machine.
     pub runner: String,
-    /// How far it is.
+    /// Its state.
     pub state: ReplicaState,
-    /// Memory it takes, in bytes.
+    /// Memory used, in bytes.
     pub memory: u64,
-    /// Requests outstanding on it.
+    /// Outstanding requests.
     pub outstanding: u32,
 }
 
@@ -139,15 +139,15 @@
     pub address: String,
     /// The service it runs; none for a model engine.
     pub service: Option<String>,
-    /// Whether it takes work.
+    /// Its state.
     pub state: RunnerState,
     /// Accelerator memory, in bytes.
     pub memory: u64,
-    /// Accelerator memory taken, in bytes.
+    /// Accelerator memory used, in bytes.
     pub used: u64,
     /// Replicas it holds.
     pub replicas: u32,
-    /// Requests running.
+    /// Running requests.
     pub running: u32,
     /// Requests waiting in its engine.
     pub waiting: u32,
@@ -160,36 +160,36 @@
     pub name: String,
     /// Its zone.
     pub zone: String,
-    /// Its address for daemons.
+    /// Its peer address.
     pub address: String,
-    /// Whether it answers.
+    /// Its liveness.
     pub state: DaemonState,
     /// Whether it coordinates its zone.
     pub coordinator: bool,
-    /// Requests in progress there.
+    /// Requests in progress.
     pub requests: u32,
-    /// Revision of the configuration in force there.
+    /// Configuration revision in force.
     pub revision: u64,
 }
 
-/// One request that waits or runs.
+/// One waiting or running request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestRow {
     /// Its id.
     pub id: String,
-    /// What it wants, `model[:adapter]@version`, or the service.
+    /// Its target: `model[:adapter]@version` or a service.
     pub model: String,
     /// Daemon that holds it.
     pub daemon: String,
     /// Zone of the daemon.
     pub zone: String,
-    /// Whether it waits or runs.
+    /// Its state.
     pub state: RequestState,
     /// Machine it runs on.
     pub runner: Option<String>,
-    /// Its rank.
+    /// Its priority.
     pub priority: u8,
-    /// Time since it came, in milliseconds.
+    /// Time since arrival, in milliseconds.
     pub age: u64,
     /// Time to its deadline, in milliseconds.
     pub time_left: u64,
@@ -204,13 +204,13 @@
     pub coordinator: Option<String>,
     /// Term of the coordinator.
     pub term: u64,
-    /// Daemons alive.
+    /// Live daemons.
     pub daemons: u32,
     /// Machines with a model engine.
     pub runners: u32,
     /// Accelerator memory, in bytes.
     pub memory: u64,
-    /// Accelerator memory taken, in bytes.
+    /// Accelerator memory used, in bytes.
     pub used: u64,
 }
 
@@ -225,9 +225,9 @@
     pub checkpoint: String,
     /// Accelerator memory, in bytes.
     pub weights: u64,
-    /// Replicas allowed.
+    /// Maximum number of replicas.
     pub at_most: u32,
-    /// Replicas ready.
+    /// Ready replicas.
     pub ready: u32,
     /// Version of the object.
     pub version: u64,
@@ -246,41 +246,41 @@
     pub weights: u64,
     /// Accelerator memory for the KV cache, in bytes.
     pub kv: u64,
-    /// Whether the model serves it.
+    /// Whether this is the model's serving version.
     pub serving: bool,
-    /// Replicas ready.
+    /// Ready replicas.
     pub ready: u32,
     /// Version of the object.
     pub version: u64,
 }
 
-/// One plain service.
+/// One service without a model engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceRow {
     /// Its name.
     pub name: String,
-    /// Requests in progress at one machine, at most.
+    /// Maximum number of requests in progress per machine.
     pub concurrency: u32,
-    /// Machines that take work.
+    /// Machines accepting requests.
     pub machines: u32,
-    /// Requests running.
+    /// Running requests.
     pub running: u32,
     /// Version of the object.
     pub version: u64,
 }
 
-/// The units of one subject in one zone.
+/// The quota of one subject in one zone.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaRow {
-    /// What is counted: `model`, `model:adapter` or `weight-store`.
+    /// Subject of the quota: `model`, `model:adapter` or `weight-store`.
     pub subject: String,
     /// The zone.
     pub zone: String,
-    /// Units the zone may use.
+    /// Units granted to the zone.
     pub units: u32,
-    /// Units it asks for.
+    /// Units requested by the zone.
     pub wanted: u32,
-    /// Units in all zones together.
+    /// Total units across all zones.
     pub limit: u32,
     /// Version of the object.
     pub version: u64,
@@ -291,7 +291,7 @@
 pub struct DrainRow {
     /// Its name.
     pub name: String,
-    /// Why.
+    /// Reason for the drain.
     pub reason: String,
     /// Version of the object.
     pub version: u64,
@@ -302,15 +302,15 @@
 pub struct PolicyRow {
     /// Weight of tail cold-start time against idle accelerator hours.
     pub cold_start_weight: f64,
-    /// Loads from the weight store at one time.
+    /// Maximum number of concurrent loads from the weight store.
     pub weight_store_parallel: u32,
-    /// Loads started from the weight store in a second.
+    /// Maximum rate of loads started from the weight store, per second.
     pub weight_store_per_second: f64,
-    /// Shortest time a replica stays loaded without requests, in milliseconds.
+    /// Minimum time that an idle replica stays loaded, in milliseconds.
     pub keep_alive_min: u64,
-    /// Longest time, in milliseconds.
+    /// Maximum time that an idle replica stays loaded, in milliseconds.
     pub keep_alive_max: u64,
-    /// Version of the object; 0 while it has never been changed.
+    /// Version of the object; 0 if it has never been changed.
     pub version: u64,
 }
 
@@ -328,18 +328,18 @@
 /// One recorded decision.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DecisionRow {
-    /// Time since, in milliseconds.
+    /// Time since the decision, in milliseconds.
     pub age: u64,
-    /// Zone that decided.
+    /// Zone of the deciding daemon.
     pub zone: String,
-    /// Daemon that decided.
+    /// Deciding daemon.
     pub daemon: String,
-    /// About what.
+    /// Artifact concerned.
     pub artifact: String,
     /// Machine concerned.
     pub runner: Option<String>,
-    /// What was decided.
+    /// The decision.
     pub decision: String,
-    /// Why.
+    /// Reason for the decision.
     pub reason: String,
 }
--- a/crates/operators/src/store.rs
+++ b/crates/operators/src/store.rs
@@ -1,18 +1,18 @@
-//! The configuration in the object API: reads all of it, writes one step of a plan.
+//! Reads the configuration from the object API and writes the steps of a plan to it.
 
 use flaxward_backends::{Collection, Object, ObjectApi, StoreError};
 use flaxward_control::configuration::Configuration;
 use flaxward_query::{Current, Rejection, Step, Write, print_key};
 use flaxward_types::{ConfigurationItem, ItemKey, OperationId, Refusal, ResultCode, Revision};
 
-/// Reads the whole configuration. Objects that cannot be read are left out, unless the change is
-/// about one of them.
+/// Reads the whole configuration. Objects that cannot be decoded are skipped, unless the change
+/// targets one of them.
 pub(crate) async fn read(
     store: &dyn ObjectApi,
     changed: &ItemKey,
 ) -> Result<Configuration, Refusal> {
     let list = store.list(Collection::Configurations).await;
-    let list = list.map_err(|error| refuse_read(&error))?;
+    let list = list.map_err(|error| read_error(&error))?;
     let mut items = Vec::new();
     for object in list.items {
         let Ok(key) = object.name.parse::<ItemKey>() else {
@@ -20,7 +20,7 @@
         };
         match decode(&object) {
             Some(item) => items.push((key, object.version, item)),
-            None if key == *changed => return Err(unreadable(&key)),
+            None if key == *changed => return Err(undecodable(&key)),
             None => {}
         }
     }
@@ -31,16 +31,16 @@
     serde_json::from_value(object.body.clone()).ok()
 }
 
-fn unreadable(key: &ItemKey) -> Refusal {
-    let detail = format!("the object of {} cannot be read", print_key(key));
+fn undecodable(key: &ItemKey) -> Refusal {
+    let detail = format!("the stored object for {} cannot be decoded", print_key(key));
     Refusal::new(ResultCode::Internal).with_detail(detail)
 }
 
-fn refuse_read(error: &StoreError) -> Refusal {
+fn read_error(error: &StoreError) -> Refusal {
     Refusal::new(ResultCode::StoreUnavailable).with_detail(error.to_string())
 }
 
-/// Carries out one step; answers what was done, with the new version unless it was removed.
+/// Executes one step; returns a description with the new version, unless the object was removed.
 pub(crate) async fn write(store: &dyn ObjectApi, step: &Step) -> Result<String, Rejection> {
     let collection = Collection::Configurations;
     let name = step.key.to_string();
@@ -64,8 +64,8 @@
         }
     };
     match result {
-        Ok(object) => Ok(report(step, object.map(|object| object.version))),
-        Err(error) => Err(reject(step, error)),
+        Ok(object) => Ok(describe_step(step, object.map(|object| object.version))),
+        Err(error) => Err(rejection(step, error)),
     }
 }
 
@@ -74,14 +74,14 @@
         .map_err(|error| Refusal::new(ResultCode::Internal).with_detail(error.to_string()))
 }
 
-fn report(step: &Step, version: Option<Revision>) -> String {
+fn describe_step(step: &Step, version: Option<Revision>) -> String {
     let key = print_key(&step.key);
-    let drain = matches!(step.key, ItemKey::Drain(_));
+    let is_drain = matches!(step.key, ItemKey::Drain(_));
     let verb = match step.write {
-        Write::Create(_) if drain => "drained",
+        Write::Create(_) if is_drain => "drained",
         Write::Create(_) => "created",
         Write::Replace(..) => "changed",
-        Write::Delete(_) if drain => "resumed",
+        Write::Delete(_) if is_drain => "resumed",
         Write::Delete(_) => "removed",
     };
     match version {
@@ -90,14 +90,14 @@
     }
 }
 
-fn reject(step: &Step, error: StoreError) -> Rejection {
+fn rejection(step: &Step, error: StoreError) -> Rejection {
     let creates_named_item = matches!(step.write, Write::Create(_)) && step.key != ItemKey::Policy;
     match error {
         StoreError::Exists(object) if creates_named_item => {
-            Rejection::exists(&step.key, current(&object))
+            Rejection::exists(&step.key, current_state(&object))
         }
         StoreError::Exists(object) | StoreError::Conflict(object) => {
-            Rejection::conflict(&step.key, current(&object))
+            Rejection::conflict(&step.key, current_state(&object))
         }
         StoreError::NotFound => Rejection::conflict(
             &step.key,
@@ -119,7 +119,7 @@
     }
 }
 
-fn current(object: &Object) -> Current {
+fn current_state(object: &Object) -> Current {
     Current {
         version: object.version,
         item: decode(object),
--- a/crates/operators/src/views.rs
+++ b/crates/operators/src/views.rs
@@ -1,4 +1,4 @@
-//! What the daemon knows, as rows.
+//! Read-only views of the daemon's state, as rows.
 
 use async_trait::async_trait;
 use flaxward_types::{ModelName, Refusal};
@@ -8,8 +8,8 @@
     ReplicaRow, RequestRow, RunnerRow, ServiceRow, VersionRow, ZoneRow,
 };
 
-/// What the daemon knows, asked of its own state and of other daemons. A row that cannot be had
-/// within a second or so is left out; a refusal means that nothing can be told at all.
+/// Read-only views of the state of this daemon and its peers. A row that cannot be fetched within
+/// about a second is omitted; a refusal means that no rows are available at all.
 #[async_trait]
 pub trait Views: Send + Sync {
     /// Models.
@@ -24,7 +24,7 @@
     /// Daemons.
     async fn daemons(&self) -> Result<Vec<DaemonRow>, Refusal>;
 
-    /// Requests that wait or run.
+    /// Waiting and running requests.
     async fn requests(&self) -> Result<Vec<RequestRow>, Refusal>;
 
     /// Zones.
@@ -33,25 +33,25 @@
     /// Adapters.
     async fn adapters(&self) -> Result<Vec<AdapterRow>, Refusal>;
 
-    /// Versions of models.
+    /// Model versions.
     async fn versions(&self) -> Result<Vec<VersionRow>, Refusal>;
 
-    /// Plain services.
+    /// Services without a model engine.
     async fn services(&self) -> Result<Vec<ServiceRow>, Refusal>;
 
-    /// Quotas, a row for each zone.
+    /// Quotas, one row per zone.
     async fn quotas(&self) -> Result<Vec<QuotaRow>, Refusal>;
 
     /// Drained machines.
     async fn drains(&self) -> Result<Vec<DrainRow>, Refusal>;
 
-    /// The policy; one row.
+    /// The policy, as a single row.
     async fn policy(&self) -> Result<Vec<PolicyRow>, Refusal>;
 
-    /// Revisions in force.
+    /// The configuration revision in force at each daemon.
     async fn config(&self) -> Result<Vec<ConfigRow>, Refusal>;
 
-    /// Decisions recorded about a model, newest first;
-    /// [`flaxward_types::ResultCode::UnknownObject`] if there is no such model.
+    /// Decisions recorded for a model, newest first;
+    /// [`flaxward_types::ResultCode::UnknownObject`] if the model does not exist.
     async fn explain(&self, model: &ModelName) -> Result<Vec<DecisionRow>, Refusal>;
 }
--- a/crates/operators/tests/operators/changes.rs
+++ b/crates/operators/tests/operators/changes.rs
@@ -1,4 +1,4 @@
-//! Changes against a store with faults and other operators.
+//! Changes under store faults and concurrent operators.
 
 use std::sync::Arc;
 
@@ -16,7 +16,7 @@
 }
 
 #[tokio::test]
-async fn an_accepted_change_answers_its_new_version() {
+async fn an_accepted_change_returns_its_new_version() {
     let (store, executor) = executor().await;
     let answer = executor
         .execute("change model m set at most 5 if version 3")
@@ -26,11 +26,11 @@
         "changed model m, now at version 4"
     );
     assert_eq!(at_most(&store), (Revision(4), 5));
-    assert!(store.operations_differ());
+    assert!(store.operations_are_unique());
 }
 
 #[tokio::test]
-async fn an_operators_race_has_one_winner_and_one_conflict_that_shows_it() {
+async fn concurrent_changes_have_one_winner_and_one_conflict_with_the_current_state() {
     for (left, right, code) in [
         (
             "change model m set at most 5",
@@ -73,7 +73,10 @@
         };
         assert_eq!(error.refusal.code, code, "{left} / {right}");
         assert!(error.not_run(), "{left} / {right}");
-        let current = error.current.clone().expect("the winner is shown");
+        let current = error
+            .current
+            .clone()
+            .expect("the current state is returned");
         let key = ["model.m", "service.s", "policy", "drain.r"]
             .into_iter()
             .find(|name| {
@@ -111,11 +114,11 @@
 }
 
 #[tokio::test]
-async fn faults_of_the_store() {
+async fn store_faults_map_to_result_codes() {
     for (fault, code, not_run, kept) in [
         (Fault::Down, ResultCode::StoreUnavailable, true, 4),
         (
-            Fault::LostAnswer,
+            Fault::LostResponse,
             ResultCode::ChangeOutcomeUnknown,
             false,
             7,
@@ -133,7 +136,7 @@
 }
 
 #[tokio::test]
-async fn a_removal_that_stops_halfway_says_what_was_done_and_can_be_repeated() {
+async fn a_partial_removal_reports_completed_steps_and_can_be_retried() {
     let all = ["adapter m:a", "model m", "version m@v1", "version m@v2"];
     for writes in 1..4 {
         let (store, executor) = executor().await;
@@ -141,21 +144,21 @@
         executor.execute(adapter).await.expect(adapter);
         store.set_fault(Fault::DownAfter(writes));
         let error = executor.execute("remove model m with all").await;
-        let error = error.expect_err("halfway");
+        let error = error.expect_err("a partial removal");
         assert_eq!(error.refusal.code, ResultCode::StoreUnavailable);
         let done = all.iter().take(writes as usize);
         let done: Vec<String> = done.map(|key| format!("removed {key}")).collect();
         assert_eq!(error.done, done);
         assert!(!error.not_run() && !ErrorBody::from(&error).error.not_run);
         store.set_fault(Fault::None);
-        let repeated = executor.execute("remove model m with all").await;
-        repeated.expect("repeated");
+        let retried = executor.execute("remove model m with all").await;
+        retried.expect("retried");
         assert!(store.names().is_empty());
     }
 }
 
 #[tokio::test]
-async fn objects_that_cannot_be_read_stop_only_their_own_changes() {
+async fn undecodable_objects_block_only_their_own_changes() {
     let (store, executor) = executor().await;
     store.put_raw("service.s", serde_json::json!({"from": "the future"}));
     store.put_raw("unheard.of", serde_json::json!(1));
@@ -188,14 +191,14 @@
 }
 
 #[tokio::test]
-async fn a_zone_that_nobody_sees_is_warned_of() {
+async fn an_unknown_zone_gives_a_warning() {
     let (_, executor) = executor().await;
     let answer = executor
         .execute("change model m set in zones scl-a, scl-x")
         .await;
     let message = answer.expect("accepted").message;
     assert!(
-        message.ends_with("; not seen here now: zone scl-x"),
+        message.ends_with("; warning: zones not currently known to this daemon: scl-x"),
         "{message}"
     );
 }
--- a/crates/operators/tests/operators/client.rs
+++ b/crates/operators/tests/operators/client.rs
@@ -1,4 +1,4 @@
-//! The client against the HTTP surface.
+//! The client against the HTTP endpoint.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -55,7 +55,7 @@
 }
 
 #[tokio::test]
-async fn commands_run_in_order_up_to_the_first_that_fails() {
+async fn commands_run_in_order_up_to_the_first_failure() {
     let (store, executor) = executor().await;
     let (address, server) = serve(executor).await;
     let lines = vec![
@@ -69,7 +69,7 @@
     let error = outcome.error().error;
     assert_eq!((error.code, error.name.as_str()), (5002, "VersionConflict"));
     assert!(error.not_run);
-    assert_eq!(error.current.expect("the winner").version.0, 4);
+    assert_eq!(error.current.expect("the current state").version.0, 4);
     assert!(store.object("model.m").is_some());
     server.abort();
 }
@@ -86,7 +86,7 @@
         ("change model m set at most 5", Fault::Down, 5, 7001, true),
         (
             "change model m set at most 5",
-            Fault::LostAnswer,
+            Fault::LostResponse,
             5,
             5006,
             false,
@@ -108,7 +108,7 @@
 }
 
 #[tokio::test]
-async fn a_daemon_that_is_not_there_certainly_ran_nothing() {
+async fn an_unreachable_daemon_gives_definitely_not_run() {
     let (_, executor) = executor().await;
     let (address, server) = serve(executor).await;
     server.abort();
@@ -119,7 +119,7 @@
 }
 
 #[tokio::test]
-async fn a_daemon_that_hangs_up_leaves_the_outcome_unknown() {
+async fn a_closed_connection_leaves_the_outcome_unknown() {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
         .await
         .expect("a port");
@@ -136,7 +136,7 @@
 }
 
 #[tokio::test]
-async fn a_command_too_long_is_refused() {
+async fn an_oversized_command_is_refused() {
     let (_, executor) = executor().await;
     let (address, server) = serve(executor).await;
     let connection = Connection::new(&address.to_string()).expect("a client");
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn every_code_has_an_exit_code_that_says_failure() {
+fn every_result_code_has_a_failure_exit_code() {
     for code in ResultCode::ALL {
         assert!((1..=5).contains(&exit_code(*code)), "{code:?}");
     }
--- a/crates/operators/tests/operators/main.rs
+++ b/crates/operators/tests/operators/main.rs
@@ -1,4 +1,4 @@
-//! The operators' surface: changes, reads and the client.
+//! Integration tests of operator changes, queries and the client.
 
 mod changes;
 mod client;
--- a/crates/operators/tests/operators/reads.rs
+++ b/crates/operators/tests/operators/reads.rs
@@ -1,4 +1,4 @@
-//! Tables, filters and how answers look.
+//! Tables, filters and rendering of answers.
 
 use std::collections::BTreeSet;
 
@@ -19,7 +19,7 @@
 }
 
 #[tokio::test]
-async fn every_row_has_just_the_fields_of_its_table() {
+async fn every_row_has_exactly_the_fields_of_its_table() {
     let (_, executor) = executor().await;
     for table in Table::ALL {
         let command = match table {
@@ -34,7 +34,7 @@
             assert_eq!(found, fields, "{command}");
         }
         for column in &answer.columns {
-            let holds = match column.kind {
+            let has_type = match column.kind {
                 ColumnKind::Text => Value::is_string,
                 ColumnKind::Flag => Value::is_boolean,
                 ColumnKind::Number => Value::is_number,
@@ -42,7 +42,7 @@
             };
             let cell = &answer.rows[0][&column.name];
             assert!(
-                cell.is_null() || holds(cell),
+                cell.is_null() || has_type(cell),
                 "{command}: {column:?} {cell}"
             );
         }
@@ -132,23 +132,28 @@
 }
 
 #[tokio::test]
-async fn errors_of_reads() {
+async fn query_errors_have_their_result_codes() {
     let (_, executor) = executor().await;
     let error = executor
         .execute("explain model nobody")
         .await
         .expect_err("unknown");
     assert_eq!(error.refusal.code, ResultCode::UnknownObject);
-    let error = executor.execute("show\tmodles").await.expect_err("a slip");
+    let error = executor
+        .execute("show\tmodles")
+        .await
+        .expect_err("a syntax error");
     assert_eq!(error.refusal.code, ResultCode::BadCommand);
     assert_eq!(
-        error.position.map(|place| (place.line, place.column)),
+        error
+            .position
+            .map(|position| (position.line, position.column)),
         Some((1, 6))
     );
 }
 
 #[test]
-fn a_table_shows_sizes_and_times_for_people_and_json_keeps_them_exact() {
+fn tables_format_sizes_and_times_and_json_keeps_them_exact() {
     let column = |name: &str, kind| Column {
         name: name.to_owned(),
         kind,
@@ -168,13 +173,13 @@
         message: "1 row".to_owned(),
     };
     let table = render_table(&answer);
-    let words: Vec<Vec<&str>> = table
+    let cells_by_line: Vec<Vec<&str>> = table
         .lines()
         .map(|line| line.split_whitespace().collect())
         .collect();
-    assert_eq!(words[0], ["name", "memory", "age", "runner"]);
-    assert_eq!(words[1], ["m", "20.0", "GiB", "1m", "30s", "-"]);
-    assert_eq!(words[2], ["1", "row"]);
+    assert_eq!(cells_by_line[0], ["name", "memory", "age", "runner"]);
+    assert_eq!(cells_by_line[1], ["m", "20.0", "GiB", "1m", "30s", "-"]);
+    assert_eq!(cells_by_line[2], ["1", "row"]);
     let json = render_json(&answer).expect("encodes");
     assert_eq!(
         serde_json::from_str::<Answer>(&json).expect("decodes"),
--- a/crates/operators/tests/operators/support.rs
+++ b/crates/operators/tests/operators/support.rs
@@ -1,4 +1,4 @@
-//! An object API in memory with faults, and fixed views.
+//! An in-memory object API with fault injection, and fixed views.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -17,16 +17,16 @@
 use serde_json::Value;
 use tokio::sync::Barrier;
 
-/// What goes wrong with writes.
+/// Injected write fault.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Fault {
     #[default]
     None,
-    /// Nothing is carried out.
+    /// Every write fails without effect.
     Down,
-    /// The first write is carried out and its answer lost.
-    LostAnswer,
-    /// Only so many writes are carried out.
+    /// The first write succeeds but its response is lost.
+    LostResponse,
+    /// Writes fail after this number of successes.
     DownAfter(u32),
 }
 
@@ -37,7 +37,7 @@
     objects: BTreeMap<String, Object>,
     operations: Vec<OperationId>,
     fault: Fault,
-    /// Every reader waits here, so that two operators read before either writes.
+    /// Readers wait here, so that two operators read before either writes.
     barrier: Option<Arc<Barrier>>,
 }
 
@@ -80,8 +80,8 @@
         self.state.lock().expect("no panic").put(name, None, body);
     }
 
-    /// Whether every write had an operation id of its own.
-    pub fn operations_differ(&self) -> bool {
+    /// Whether every write had a unique operation id.
+    pub fn operations_are_unique(&self) -> bool {
         let mut operations = self.state.lock().expect("no panic").operations.clone();
         let count = operations.len();
         operations.sort_unstable();
@@ -95,7 +95,7 @@
     ) -> Result<T, StoreError> {
         let mut state = self.state.lock().expect("no panic");
         state.writes += 1;
-        let first = state.writes == 1;
+        let is_first = state.writes == 1;
         match state.fault {
             Fault::Down => return Err(StoreError::Unavailable("down".to_owned())),
             Fault::DownAfter(writes) if state.writes > writes => {
@@ -104,7 +104,7 @@
             _ => {}
         }
         let result = change(&mut state)?;
-        if state.fault == Fault::LostAnswer && first {
+        if state.fault == Fault::LostResponse && is_first {
             return Err(StoreError::OutcomeUnknown("lost".to_owned()));
         }
         Ok(result)
@@ -223,7 +223,7 @@
     }
 }
 
-/// Two models, four replicas, one zone seen; the rest is one default row each.
+/// Three models, four replicas and one known zone; every other table has one default row.
 pub struct FixedViews;
 
 fn model(name: &str, state: ModelState, waiting: u32) -> ModelRow {
