--- a/crates/backends/src/documents.rs
+++ b/crates/backends/src/documents.rs
@@ -1,4 +1,4 @@
-//! The documents of the object API, after the conventions of Kubernetes for custom resources.
+//! JSON documents of the object API, following the conventions of Kubernetes for custom resources.
 
 use std::collections::BTreeMap;
 
@@ -11,13 +11,13 @@
 /// Group and version of flaxward's resources.
 pub(crate) const API_VERSION: &str = "flaxward.example/v1";
 
-/// Annotation with the operation of the last change.
+/// Annotation with the id of the operation that made the last change.
 const OPERATION: &str = "flaxward.example/operation";
 
-/// Annotation with the version that the last change replaced.
+/// Annotation with the resource version that the last change replaced.
 const REPLACED: &str = "flaxward.example/replaced";
 
-/// One object as it travels.
+/// Wire format of an object.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct Document {
@@ -38,7 +38,7 @@
     annotations: BTreeMap<String, String>,
 }
 
-/// A list as it travels.
+/// Wire format of a list.
 #[derive(Debug, Deserialize)]
 pub(crate) struct ListDocument {
     metadata: ListMetadata,
@@ -51,17 +51,16 @@
     resource_version: String,
 }
 
-/// One line of a watch.
+/// Wire format of one watch event, sent as one line.
 #[derive(Debug, Deserialize)]
 pub(crate) struct EventDocument {
-    /// What happened.
     #[serde(rename = "type")]
     pub(crate) kind: EventKind,
-    /// To what; a status document if it is an error.
+    /// The changed object, or a [`StatusDocument`] if the event is an error.
     pub(crate) object: Value,
 }
 
-/// What a line of a watch tells.
+/// Type of a watch event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "UPPERCASE")]
 pub(crate) enum EventKind {
@@ -72,20 +71,20 @@
     Error,
 }
 
-/// A status document; says why something was refused.
+/// Status document with the reason for a rejected request.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct StatusDocument {
-    /// One word, such as `AlreadyExists`.
+    /// Machine-readable reason, such as `AlreadyExists`.
     pub(crate) reason: String,
     /// HTTP status.
     pub(crate) code: u16,
-    /// For people.
+    /// Human-readable message.
     pub(crate) message: String,
 }
 
 impl Document {
-    /// What is sent to create an object, or to replace the version `expected`.
+    /// Builds the document that creates an object, or that replaces the version `expected`.
     pub(crate) fn to_write(
         collection: Collection,
         name: &str,
@@ -110,7 +109,7 @@
         }
     }
 
-    /// The object, or what is wrong with the document.
+    /// Converts the document into an object, or describes why it is invalid.
     pub(crate) fn into_object(self) -> Result<Object, String> {
         let annotations = &self.metadata.annotations;
         Ok(Object {
@@ -126,19 +125,18 @@
         })
     }
 
-    /// The revision of an object that was removed, or of a bookmark.
+    /// The revision of a deleted object or of a bookmark.
     pub(crate) fn revision(&self) -> Result<Revision, String> {
         revision(&self.metadata.resource_version)
     }
 
-    /// The name of the object.
     pub(crate) fn name(&self) -> &str {
         &self.metadata.name
     }
 }
 
 impl ListDocument {
-    /// The list, or what is wrong with the document.
+    /// Converts the document into a list, or describes why it is invalid.
     pub(crate) fn into_list(self) -> Result<ObjectList, String> {
         let items: Result<Vec<Object>, String> =
             self.items.into_iter().map(Document::into_object).collect();
--- a/crates/backends/src/engine_http.rs
+++ b/crates/backends/src/engine_http.rs
@@ -1,4 +1,4 @@
-//! Model engines over HTTP.
+//! HTTP client of the model engines.
 
 use async_trait::async_trait;
 use bytes::Bytes;
@@ -14,7 +14,7 @@
 const NOT_FOUND: u16 = 404;
 const SERVICE_UNAVAILABLE: u16 = 503;
 
-/// Client of model engines, for all of them.
+/// HTTP client shared by all model engines.
 #[derive(Clone, Debug)]
 pub struct EngineHttp {
     client: Client,
@@ -22,7 +22,7 @@
 }
 
 impl EngineHttp {
-    /// A client.
+    /// Creates a client.
     ///
     /// # Errors
     /// Fails if the HTTP library cannot be set up.
--- a/crates/backends/src/http_client.rs
+++ b/crates/backends/src/http_client.rs
@@ -1,18 +1,19 @@
-//! What the HTTP adapters share: a client with time limits, and what a failure proves.
+//! Common parts of the HTTP adapters: a client with timeouts, and the classification of failures by
+//! whether the request may have been sent.
 
 use std::time::Duration;
 
 use reqwest::header::{ETAG, HeaderValue};
 use reqwest::{Client, RequestBuilder, Response};
 
-/// Time limits of an HTTP adapter.
+/// Timeouts of an HTTP adapter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimeLimits {
-    /// To open a connection.
+    /// Timeout for opening a connection.
     pub connect: Duration,
-    /// For a whole call, its answer included; does not apply to watches.
+    /// Timeout for a whole call including its response; does not apply to watches.
     pub call: Duration,
-    /// Longest silence of a watch before it counts as broken.
+    /// Time without data after which a watch counts as broken.
     pub silence: Duration,
 }
 
@@ -26,7 +27,7 @@
     }
 }
 
-/// Makes a client with these limits.
+/// Creates a client with these timeouts.
 ///
 /// # Errors
 /// Fails if the HTTP library cannot be set up.
@@ -37,16 +38,16 @@
         .build()
 }
 
-/// Why a call gave no answer, and what that proves.
+/// Failure of a call, by whether the request may have been sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum CallError {
-    /// No connection was made: nothing was sent.
+    /// No connection was made, so nothing was sent.
     NotSent(String),
-    /// Something was sent, and no whole answer came.
+    /// The request may have been sent, but no complete response arrived.
     Unknown(String),
 }
 
-/// Sends a request and reads its answer whole, within the limit.
+/// Sends a request and reads the complete response within the call timeout.
 pub(crate) async fn call(request: RequestBuilder, limits: TimeLimits) -> Result<Answer, CallError> {
     let response = request
         .timeout(limits.call)
@@ -56,13 +57,12 @@
     Answer::read(response).await
 }
 
-/// A whole answer.
+/// A complete response.
 pub(crate) struct Answer {
     /// HTTP status.
     pub(crate) status: u16,
-    /// Entity tag of the body, if the server names one.
+    /// Entity tag of the body, if the server sent one.
     pub(crate) entity_tag: Option<HeaderValue>,
-    /// Body.
     pub(crate) body: bytes::Bytes,
 }
 
@@ -79,7 +79,7 @@
         })
     }
 
-    /// The status and the start of the body, for people.
+    /// The status and the start of the body, for error messages.
     pub(crate) fn text(&self) -> String {
         const SHOWN_BYTES: usize = 200;
         let shown = &self.body[..self.body.len().min(SHOWN_BYTES)];
@@ -87,7 +87,7 @@
     }
 }
 
-/// Says what a failure to send or to hear an answer proves.
+/// Classifies a failure to send a request or to receive its response.
 pub(crate) fn call_error(error: &reqwest::Error) -> CallError {
     let text = text_of(error);
     if error.is_connect() || error.is_builder() {
@@ -97,7 +97,7 @@
     }
 }
 
-/// An error with its causes, for people.
+/// Formats an error with its chain of causes, for error messages.
 pub(crate) fn text_of(error: &reqwest::Error) -> String {
     let mut text = error.to_string();
     let mut cause = std::error::Error::source(error);
--- a/crates/backends/src/lib.rs
+++ b/crates/backends/src/lib.rs
@@ -1,6 +1,6 @@
-//! Everything outside flaxward, behind narrow traits: the object API, the machine list, the model
-//! engines and plain services. Another surface of the same platform is another implementation of a
-//! trait here and no change elsewhere.
+//! Interfaces to external systems behind narrow traits: the object API, the machine list, the model
+//! engines and plain services. Supporting another platform API takes another implementation of a
+//! trait in this crate and no change elsewhere.
 
 #![warn(clippy::pedantic)]
 #![allow(clippy::module_name_repetitions, clippy::must_use_candidate)]
--- a/crates/backends/src/machines.rs
+++ b/crates/backends/src/machines.rs
@@ -4,14 +4,15 @@
 use flaxward_types::engine::Machine;
 use thiserror::Error;
 
-/// Why the machine list could not be read.
+/// Error of reading the machine list.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("the machine list does not answer: {0}")]
+#[error("cannot read the machine list: {0}")]
 pub struct MachineListError(pub String);
 
-/// The machine list.
+/// Source of the machine list.
 #[async_trait]
 pub trait MachineList: Send + Sync {
-    /// Reads all machines. A machine that is missing is gone for good; its name is never reused.
+    /// Reads all machines. A machine missing from the list was removed permanently; its name
+    /// is never reused.
     async fn machines(&self) -> Result<Vec<Machine>, MachineListError>;
 }
--- a/crates/backends/src/machines_http.rs
+++ b/crates/backends/src/machines_http.rs
@@ -1,7 +1,7 @@
-//! The machine list over HTTP, in the format of Prometheus' HTTP service discovery.
+//! HTTP client of the machine list, in the format of Prometheus' HTTP service discovery.
 //!
-//! A list with an entity tag is read again on condition that it changed (RFC 9110, section 13.1.2).
-//! One without is read whole every time.
+//! A list with an entity tag is re-read with a conditional request (RFC 9110, section 13.1.2). A
+//! list without one is read in full every time.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -24,12 +24,12 @@
     client: Client,
     url: String,
     limits: TimeLimits,
-    held: Mutex<Option<HeldList>>,
+    cached: Mutex<Option<CachedList>>,
 }
 
-/// The list last read whole, with the entity tag that names it.
+/// The list last read in full, with its entity tag.
 #[derive(Clone, Debug)]
-struct HeldList {
+struct CachedList {
     entity_tag: HeaderValue,
     machines: Vec<Machine>,
 }
@@ -42,7 +42,7 @@
 }
 
 impl MachinesHttp {
-    /// A client of the list at a URL such as `http://10.0.0.1:9000/machines`.
+    /// Creates a client of the list at a URL such as `http://10.0.0.1:9000/machines`.
     ///
     /// # Errors
     /// Fails if the HTTP library cannot be set up.
@@ -52,28 +52,28 @@
             client,
             url: url.to_owned(),
             limits,
-            held: Mutex::new(None),
+            cached: Mutex::new(None),
         })
     }
 
-    fn held(&self) -> MutexGuard<'_, Option<HeldList>> {
-        // The list is replaced in one step, so a panic elsewhere leaves it whole.
-        self.held.lock().unwrap_or_else(PoisonError::into_inner)
+    fn cached(&self) -> MutexGuard<'_, Option<CachedList>> {
+        // The list is replaced in one step, so a panic elsewhere leaves it consistent.
+        self.cached.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn request(&self, held: Option<&HeldList>) -> RequestBuilder {
+    fn request(&self, cached: Option<&CachedList>) -> RequestBuilder {
         let request = self.client.get(&self.url);
-        match held {
-            Some(held) => request.header(IF_NONE_MATCH, &held.entity_tag),
+        match cached {
+            Some(cached) => request.header(IF_NONE_MATCH, &cached.entity_tag),
             None => request,
         }
     }
 
-    /// Reads a whole list and holds it, if it has an entity tag. A list that can't be read is not
-    /// held: it must fail again and never be taken as unchanged.
-    fn take_whole(&self, answer: Answer) -> Result<Vec<Machine>, MachineListError> {
+    /// Parses a full list and caches it if it has an entity tag. A list that cannot be parsed is
+    /// not cached: the next read must fail again and must not treat it as unchanged.
+    fn parse_and_cache(&self, answer: Answer) -> Result<Vec<Machine>, MachineListError> {
         let machines = parse(&answer.body)?;
-        *self.held() = answer.entity_tag.map(|entity_tag| HeldList {
+        *self.cached() = answer.entity_tag.map(|entity_tag| CachedList {
             entity_tag,
             machines: machines.clone(),
         });
@@ -84,13 +84,13 @@
 #[async_trait]
 impl MachineList for MachinesHttp {
     async fn machines(&self) -> Result<Vec<Machine>, MachineListError> {
-        // A copy: an answer that nothing changed belongs to the list that was asked about.
-        let held = self.held().clone();
-        let request = self.request(held.as_ref());
+        // A copy, since a 304 response refers to the list whose entity tag was sent.
+        let cached = self.cached().clone();
+        let request = self.request(cached.as_ref());
         let answer = call(request, self.limits).await.map_err(list_error)?;
-        match (answer.status, held) {
-            (OK, _) => self.take_whole(answer),
-            (NOT_MODIFIED, Some(held)) => Ok(held.machines),
+        match (answer.status, cached) {
+            (OK, _) => self.parse_and_cache(answer),
+            (NOT_MODIFIED, Some(cached)) => Ok(cached.machines),
             _ => Err(MachineListError(answer.text())),
         }
     }
@@ -98,7 +98,7 @@
 
 fn parse(body: &[u8]) -> Result<Vec<Machine>, MachineListError> {
     let groups: Vec<TargetGroup> = serde_json::from_slice(body)
-        .map_err(|error| MachineListError(format!("the list cannot be read: {error}")))?;
+        .map_err(|error| MachineListError(format!("cannot parse the machine list: {error}")))?;
     groups.iter().map(machine).collect()
 }
 
@@ -108,8 +108,8 @@
     }
 }
 
-/// The machine of a group. A group that cannot be read fails the whole list: a machine that is left
-/// out would count as gone for good.
+/// Parses the machine of a target group. An invalid group fails the whole list, since an omitted
+/// machine would count as permanently removed.
 fn machine(group: &TargetGroup) -> Result<Machine, MachineListError> {
     let [address] = group.targets.as_slice() else {
         let text = format!("a machine has {} addresses", group.targets.len());
--- a/crates/backends/src/objects.rs
+++ b/crates/backends/src/objects.rs
@@ -12,7 +12,7 @@
 /// A collection of objects; each is a resource type of the object API.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Collection {
-    /// What operators write ([`flaxward_types::ConfigurationItem`]).
+    /// Configuration items written by operators ([`flaxward_types::ConfigurationItem`]).
     Configurations,
     /// Zone leases ([`flaxward_types::records::ZoneLease`]), named by zone.
     Leases,
@@ -20,12 +20,12 @@
     Placements,
     /// Quotas ([`flaxward_types::records::Quota`]).
     Quotas,
-    /// Claims of requests that may not be repeated ([`flaxward_types::records::Claim`]).
+    /// Claims of requests that must not be retried ([`flaxward_types::records::Claim`]).
     Claims,
 }
 
 impl Collection {
-    /// The plural name that stands in the path.
+    /// The plural name used in URL paths.
     pub fn plural(self) -> &'static str {
         match self {
             Self::Configurations => "configurations",
@@ -43,26 +43,26 @@
     }
 }
 
-/// One object.
+/// A versioned object.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Object {
-    /// Its name within the collection.
+    /// Name within the collection.
     pub name: String,
-    /// Revision of its last change; the version to name in a compare-and-swap.
+    /// Revision of its last change; the expected version for a compare-and-swap.
     pub version: Revision,
-    /// The operation that made the last change, by which a lost answer is settled.
+    /// The operation that made the last change, used to resolve a write whose response was lost.
     pub operation: Option<OperationId>,
-    /// The version that the last change replaced, or `None` if it created the object. It proves that
-    /// no other change came between.
+    /// The version that the last change replaced, or `None` if it created the object. It shows
+    /// that no other change happened in between.
     pub replaced: Option<Revision>,
-    /// Its content.
+    /// Content of the object.
     pub body: Value,
 }
 
 /// All objects of a collection at one revision.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ObjectList {
-    /// Revision of the list; a watch from here misses nothing.
+    /// Revision of the list; a watch from this revision misses no change.
     pub revision: Revision,
     /// The objects.
     pub items: Vec<Object>,
@@ -71,15 +71,15 @@
 /// Which objects of a collection to read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Selection {
-    /// A field of their content that holds text.
+    /// Name of a text field in the object's content.
     pub field: &'static str,
-    /// The text.
+    /// Value that the field must have.
     pub value: String,
-    /// Objects read, at most.
+    /// Maximum number of objects to return.
     pub limit: u32,
 }
 
-/// One change seen by a watch.
+/// An event of a watch.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WatchEvent {
     /// The object was created or replaced.
@@ -95,25 +95,26 @@
     Bookmark(Revision),
 }
 
-/// Why an operation on the object API gave no result.
+/// Error of an operation on the object API.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum StoreError {
     /// The object does not exist.
     #[error("no such object")]
     NotFound,
-    /// The object exists already; here it is.
+    /// The object already exists; contains the existing object.
     #[error("the object exists already at version {}", .0.version)]
     Exists(Box<Object>),
-    /// The object has another version than the one named; here it is.
+    /// The object's version is not the expected one; contains the current object.
     #[error("the object has version {}", .0.version)]
     Conflict(Box<Object>),
     /// The revision to watch from is too old; list again.
     #[error("the revision is too old to watch from")]
     Compacted,
-    /// The object API refused or could not be reached: the operation was certainly not carried out.
-    #[error("the object API does not answer: {0}")]
+    /// The object API refused or could not be reached: the operation was definitely not
+    /// applied.
+    #[error("object API unavailable: {0}")]
     Unavailable(String),
-    /// The answer was lost: the operation may have been carried out.
+    /// The response was lost: the operation may have been applied.
     #[error("the outcome of the operation is unknown: {0}")]
     OutcomeUnknown(String),
 }
@@ -127,15 +128,15 @@
     /// Reads a whole collection.
     async fn list(&self, collection: Collection) -> Result<ObjectList, StoreError>;
 
-    /// Reads the objects of a collection that are selected, or some of them if they are more than the
-    /// limit.
+    /// Reads the objects of a collection that match the selection, or some of them if more than the
+    /// limit match.
     async fn select(
         &self,
         collection: Collection,
         selection: &Selection,
     ) -> Result<Vec<Object>, StoreError>;
 
-    /// Creates an object; fails with [`StoreError::Exists`] if there is one.
+    /// Creates an object; fails with [`StoreError::Exists`] if it already exists.
     async fn create(
         &self,
         collection: Collection,
@@ -144,7 +145,7 @@
         body: Value,
     ) -> Result<Object, StoreError>;
 
-    /// Replaces an object whose version is `expected`; fails with [`StoreError::Conflict`] else.
+    /// Replaces an object whose version is `expected`; else fails with [`StoreError::Conflict`].
     async fn replace(
         &self,
         collection: Collection,
@@ -154,7 +155,7 @@
         body: Value,
     ) -> Result<Object, StoreError>;
 
-    /// Removes an object whose version is `expected`; fails with [`StoreError::Conflict`] else.
+    /// Removes an object whose version is `expected`; else fails with [`StoreError::Conflict`].
     async fn delete(
         &self,
         collection: Collection,
--- a/crates/backends/src/objects_http.rs
+++ b/crates/backends/src/objects_http.rs
@@ -1,4 +1,4 @@
-//! The object API over HTTP, after the conventions of Kubernetes for custom resources.
+//! HTTP client of the object API, following the conventions of Kubernetes for custom resources.
 
 use async_trait::async_trait;
 use flaxward_types::{OperationId, Revision};
@@ -17,10 +17,10 @@
     Collection, Object, ObjectApi, ObjectList, Selection, StoreError, WatchEvent,
 };
 
-/// Header by which a daemon tells the platform who it is, as `ZONE/DAEMON`.
+/// Header with which a daemon identifies itself to the platform, as `ZONE/DAEMON`.
 const CLIENT_HEADER: &str = "x-flaxward-client";
 
-/// Longest line of a watch, in bytes; bounds memory against a broken server.
+/// Maximum length of a watch line in bytes; bounds memory use if the server misbehaves.
 const MAX_LINE_BYTES: usize = 16 * 1024 * 1024;
 
 const CREATED: u16 = 201;
@@ -39,11 +39,11 @@
 }
 
 impl ObjectsHttp {
-    /// A client of the object API at a base URL such as `http://10.0.0.1:6443`, which tells that it
-    /// is `identity` (`ZONE/DAEMON`).
+    /// Creates a client of the object API at a base URL such as `http://10.0.0.1:6443`, which
+    /// identifies itself as `identity` (`ZONE/DAEMON`).
     ///
     /// # Errors
-    /// Fails if the URL cannot be read or cannot have paths, or the HTTP library cannot be set up.
+    /// Fails if the URL is invalid or cannot have paths, or the HTTP library cannot be set up.
     pub fn new(base: &str, identity: &str, limits: TimeLimits) -> Result<Self, StoreError> {
         let unusable = |text: String| StoreError::Unavailable(format!("{base}: {text}"));
         let url = Url::parse(base).map_err(|error| unusable(error.to_string()))?;
@@ -97,11 +97,15 @@
         }
     }
 
-    /// The object that stands in the way of a write that was certainly refused.
-    async fn in_the_way(&self, collection: Collection, name: &str) -> Result<Object, StoreError> {
+    /// Reads the object that caused a write to be rejected with a conflict.
+    async fn conflicting_object(
+        &self,
+        collection: Collection,
+        name: &str,
+    ) -> Result<Object, StoreError> {
         match self.get(collection, name).await {
             Err(StoreError::NotFound) => Err(StoreError::Unavailable(
-                "the object that stood in the way is gone".to_owned(),
+                "the conflicting object was deleted".to_owned(),
             )),
             result => result,
         }
@@ -116,14 +120,14 @@
         match self.write(request).await? {
             Written::Done(answer) => object_of(&answer.body).map_err(StoreError::OutcomeUnknown),
             Written::Conflict(status) => {
-                let current = self.in_the_way(collection, name).await?;
+                let current = self.conflicting_object(collection, name).await?;
                 Err(conflict(&status, current))
             }
         }
     }
 }
 
-/// What became of a write.
+/// Outcome of a write: applied, or rejected because of a conflict.
 enum Written {
     Done(Answer),
     Conflict(StatusDocument),
@@ -197,7 +201,7 @@
         match self.write(request).await? {
             Written::Done(_) => Ok(()),
             Written::Conflict(status) => {
-                let current = self.in_the_way(collection, name).await?;
+                let current = self.conflicting_object(collection, name).await?;
                 Err(conflict(&status, current))
             }
         }
@@ -216,7 +220,7 @@
         let opening = self.request(Method::GET, url).send();
         let response = tokio::time::timeout(self.limits.call, opening)
             .await
-            .map_err(|_| StoreError::Unavailable("no answer to the watch in time".to_owned()))?
+            .map_err(|_| StoreError::Unavailable("timeout while opening the watch".to_owned()))?
             .map_err(|error| read_error(call_error(&error)))?;
         match response.status().as_u16() {
             OK => Ok(events(response, self.limits)),
@@ -226,7 +230,7 @@
     }
 }
 
-/// The events of an open watch, up to its end or its first error.
+/// Streams the events of an open watch until it ends or fails.
 fn events(
     response: reqwest::Response,
     limits: TimeLimits,
@@ -237,7 +241,9 @@
     futures::stream::unfold(Some(lines), move |lines| async move {
         let mut lines = lines?;
         let event = match tokio::time::timeout(limits.silence, lines.next()).await {
-            Err(_) => Err(StoreError::Unavailable("the watch is silent".to_owned())),
+            Err(_) => Err(StoreError::Unavailable(
+                "no data from the watch within the timeout".to_owned(),
+            )),
             Ok(None) => return None,
             Ok(Some(Err(error))) => Err(StoreError::Unavailable(error.to_string())),
             Ok(Some(Ok(line))) => event_of(&line),
@@ -281,7 +287,7 @@
 }
 
 fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, String> {
-    serde_json::from_slice(body).map_err(|error| format!("the answer cannot be read: {error}"))
+    serde_json::from_slice(body).map_err(|error| format!("cannot parse the response: {error}"))
 }
 
 fn status_of(answer: &Answer) -> StatusDocument {
@@ -309,8 +315,9 @@
     }
 }
 
-/// What a status other than success and conflict proves: the server's own refusals come before it
-/// acts, while the others, such as 500, 502 and 504, may come after.
+/// Maps a status other than success and conflict to an error. The server rejects a request with 4xx
+/// or 503 before it acts, while other statuses, such as 500, 502 and 504, may be sent after
+/// the write.
 fn refused_write(status: u16, answer: &Answer) -> StoreError {
     match status {
         NOT_FOUND => StoreError::NotFound,
--- a/crates/backends/src/settled.rs
+++ b/crates/backends/src/settled.rs
@@ -1,12 +1,12 @@
-//! An object API whose lost answers are settled.
+//! Object API wrapper that resolves writes whose response was lost.
 //!
-//! A compare-and-swap may be sent again as often as one likes: it takes effect once at most. So when
-//! the answer to a write is lost, the object is read back, and if it still has the version that the
-//! write named, the same write is sent again under the same operation. An unchanged object proves
-//! nothing by itself, since the first write may still be on its way.
+//! A compare-and-swap is idempotent: however often it is sent, it takes effect at most once. When
+//! the response to a write is lost, the object is read back, and if it still has the expected
+//! version, the same write is retried with the same operation id. An unchanged object alone proves
+//! nothing, since the first write may still be in flight.
 //!
-//! An object that another operation changed proves that the write failed only if that operation
-//! replaced the very version that the write named; otherwise the write may have come between.
+//! If another operation changed the object, the write definitely failed only if that operation
+//! replaced the expected version; otherwise the write may have been applied in between.
 
 use std::time::Duration;
 
@@ -20,14 +20,14 @@
     Collection, Object, ObjectApi, ObjectList, Selection, StoreError, WatchEvent,
 };
 
-/// How hard a lost answer is settled.
+/// Retry limits for resolving a write whose response was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SettleLimits {
-    /// Tries after the first, at most.
+    /// Maximum number of retries.
     pub tries: u32,
-    /// Wait before each try.
+    /// Delay before each retry.
     pub pause: Duration,
-    /// Time for all of it, from the first answer lost.
+    /// Total time for all retries, from the first lost response.
     pub time: Duration,
 }
 
@@ -41,38 +41,38 @@
     }
 }
 
-/// An object API whose lost answers are settled where that can be done.
+/// Object API that resolves lost responses where possible.
 #[derive(Clone, Debug)]
 pub struct SettledStore<A> {
     inner: A,
     limits: SettleLimits,
 }
 
-/// A write that can be sent again.
+/// A write that can be retried.
 #[derive(Clone, Debug)]
 struct Write<'a> {
     collection: Collection,
     name: &'a str,
-    /// The version it replaces, or `None` if it creates the object.
+    /// The version to replace, or `None` if it creates the object.
     expected: Option<Revision>,
     operation: OperationId,
     body: Value,
 }
 
-/// What the object read back says of a write whose answer was lost.
+/// Conclusion about a write whose response was lost, from the object read back.
 enum Finding {
     Settled(Result<Object, StoreError>),
-    /// The write can still take effect, so it may be sent again.
+    /// The write can still take effect, so it may be retried.
     Open,
 }
 
 impl<A: ObjectApi> SettledStore<A> {
-    /// Settles the lost answers of an object API.
+    /// Wraps an object API.
     pub fn new(inner: A, limits: SettleLimits) -> Self {
         Self { inner, limits }
     }
 
-    /// The object API without settling.
+    /// The wrapped object API, which does not resolve lost responses.
     pub fn inner(&self) -> &A {
         &self.inner
     }
@@ -106,7 +106,7 @@
         let end = Instant::now() + self.limits.time;
         for _ in 0..self.limits.tries {
             tokio::time::sleep(self.limits.pause).await;
-            match tokio::time::timeout_at(end, self.try_to_settle(write)).await {
+            match tokio::time::timeout_at(end, self.read_back_and_retry(write)).await {
                 Ok(Ok(Finding::Settled(result))) => return result,
                 Ok(Ok(Finding::Open)) => {}
                 Ok(Err(later)) => text = later,
@@ -116,11 +116,11 @@
         Err(StoreError::OutcomeUnknown(text))
     }
 
-    /// Reads back, and sends again if that can still take effect.
-    async fn try_to_settle(&self, write: &Write<'_>) -> Result<Finding, String> {
+    /// Reads the object back, and retries the write if it can still take effect.
+    async fn read_back_and_retry(&self, write: &Write<'_>) -> Result<Finding, String> {
         let found = match self.inner.get(write.collection, write.name).await {
-            Ok(object) => finding(write, object),
-            Err(StoreError::NotFound) => absent(write),
+            Ok(object) => classify_object(write, object),
+            Err(StoreError::NotFound) => classify_missing(write),
             Err(error) => return Err(error.to_string()),
         };
         if let Finding::Settled(_) = found {
@@ -129,15 +129,15 @@
         Ok(match self.send(write).await {
             Ok(object) => Finding::Settled(Ok(object)),
             Err(StoreError::Exists(object) | StoreError::Conflict(object)) => {
-                finding(write, *object)
+                classify_object(write, *object)
             }
-            Err(StoreError::NotFound) => absent(write),
+            Err(StoreError::NotFound) => classify_missing(write),
             Err(error) => return Err(error.to_string()),
         })
     }
 }
 
-fn finding(write: &Write<'_>, object: Object) -> Finding {
+fn classify_object(write: &Write<'_>, object: Object) -> Finding {
     if object.operation == Some(write.operation) {
         return Finding::Settled(Ok(object));
     }
@@ -146,22 +146,22 @@
     }
     let proven = object.replaced == write.expected;
     Finding::Settled(Err(match write.expected {
-        _ if !proven => overtaken(),
+        _ if !proven => superseded(),
         None => StoreError::Exists(Box::new(object)),
         Some(_) => StoreError::Conflict(Box::new(object)),
     }))
 }
 
-/// What it says that the object does not exist.
-fn absent(write: &Write<'_>) -> Finding {
+/// Conclusion about a write whose object does not exist.
+fn classify_missing(write: &Write<'_>) -> Finding {
     match write.expected {
         None => Finding::Open,
-        Some(_) => Finding::Settled(Err(overtaken())),
+        Some(_) => Finding::Settled(Err(superseded())),
     }
 }
 
-fn overtaken() -> StoreError {
-    StoreError::OutcomeUnknown("later operations have changed the object".to_owned())
+fn superseded() -> StoreError {
+    StoreError::OutcomeUnknown("the object was changed by later operations".to_owned())
 }
 
 #[async_trait]
@@ -232,7 +232,7 @@
             tokio::time::sleep(self.limits.pause).await;
             let again = self.inner.delete(collection, name, expected);
             match tokio::time::timeout_at(end, again).await {
-                Ok(later) => result = removal(later, expected),
+                Ok(later) => result = delete_result(later, expected),
                 Err(_) => break,
             }
         }
@@ -248,15 +248,15 @@
     }
 }
 
-/// What a repeated removal says of the first one, whose answer was lost.
-fn removal(later: Result<(), StoreError>, expected: Revision) -> Result<(), StoreError> {
+/// Result of a delete whose response was lost, derived from the result of its retry.
+fn delete_result(later: Result<(), StoreError>, expected: Revision) -> Result<(), StoreError> {
     match later {
-        // The version named is gone, by this removal or by one that wanted the same.
+        // The expected version was deleted, by this call or by an equivalent one.
         Ok(()) | Err(StoreError::NotFound) => Ok(()),
         Err(StoreError::Conflict(object)) if object.replaced == Some(expected) => {
             Err(StoreError::Conflict(object))
         }
-        Err(StoreError::Conflict(_)) => Err(overtaken()),
+        Err(StoreError::Conflict(_)) => Err(superseded()),
         Err(error) => Err(StoreError::OutcomeUnknown(error.to_string())),
     }
 }
--- a/crates/backends/tests/contracts/engine_contract.rs
+++ b/crates/backends/tests/contracts/engine_contract.rs
@@ -1,4 +1,4 @@
-//! What every engine must hold.
+//! Contract of every [`EngineApi`] implementation.
 
 use flaxward_backends::{EngineApi, EngineError};
 use flaxward_types::engine::{HeldState, Inventory, Order, OrderAction, OrderAnswer};
@@ -8,15 +8,15 @@
 /// Accelerator memory that the engine under test must have, in bytes.
 pub const MEMORY: u64 = 100;
 
-/// Checks the whole contract on an engine that holds nothing and has [`MEMORY`] bytes.
+/// Checks the whole contract on an empty engine with [`MEMORY`] bytes.
 pub async fn engine_contract(api: &dyn EngineApi, address: &str) {
     let engine = EngineUnderTest { api, address };
     engine.a_lower_term_is_refused().await;
     engine.another_boot_is_refused().await;
-    engine.a_repeated_order_has_no_further_effect().await;
+    engine.a_retried_order_has_no_further_effect().await;
     engine.memory_is_never_overcommitted().await;
     engine.an_adapter_needs_its_base().await;
-    engine.an_unknown_stream_is_said_so().await;
+    engine.an_unknown_stream_is_reported().await;
 }
 
 /// An engine and its address.
@@ -27,9 +27,9 @@
     pub address: &'a str,
 }
 
-/// What an answer says, without its figures.
+/// Kind of an order response, without its values.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Said {
+pub enum AnswerKind {
     Accepted,
     StaleTerm,
     OtherBoot,
@@ -37,7 +37,7 @@
     Refused,
 }
 
-/// An artifact from its text.
+/// Parses an artifact id.
 pub fn artifact(text: &str) -> ArtifactId {
     text.parse().expect("a literal artifact is valid")
 }
@@ -60,21 +60,23 @@
 
 impl EngineUnderTest<'_> {
     async fn a_lower_term_is_refused(&self) {
-        self.expect(1, 5, load("fenced@v1", 10), Said::Accepted)
+        self.expect(1, 5, load("fenced@v1", 10), AnswerKind::Accepted)
             .await;
-        self.expect(2, 4, load("late@v1", 10), Said::StaleTerm)
+        self.expect(2, 4, load("late@v1", 10), AnswerKind::StaleTerm)
             .await;
-        self.expect(3, 4, unload("fenced@v1"), Said::StaleTerm)
+        self.expect(3, 4, unload("fenced@v1"), AnswerKind::StaleTerm)
             .await;
-        self.expect(4, 7, OrderAction::Seal, Said::Accepted).await;
-        self.expect(5, 6, unload("fenced@v1"), Said::StaleTerm)
+        self.expect(4, 7, OrderAction::Seal, AnswerKind::Accepted)
+            .await;
+        self.expect(5, 6, unload("fenced@v1"), AnswerKind::StaleTerm)
             .await;
         let inventory = self.inventory().await;
         assert_eq!(inventory.term, Term(7));
         assert!(inventory.held(&artifact("fenced@v1")).is_some());
         assert!(inventory.held(&artifact("late@v1")).is_none());
         self.ready("fenced@v1").await;
-        self.expect(6, 7, unload("fenced@v1"), Said::Accepted).await;
+        self.expect(6, 7, unload("fenced@v1"), AnswerKind::Accepted)
+            .await;
         self.gone("fenced@v1").await;
     }
 
@@ -86,25 +88,34 @@
         };
         let answer = self.api.order(self.address, &order).await;
         assert_eq!(answer, Ok(OrderAnswer::OtherBoot { boot }));
-        assert_eq!(self.inventory().await.term, Term(7), "it was not heard");
+        assert_eq!(
+            self.inventory().await.term,
+            Term(7),
+            "an order for another boot does not change the term"
+        );
     }
 
-    async fn a_repeated_order_has_no_further_effect(&self) {
-        self.expect(20, 7, load("once@v1", 60), Said::Accepted)
+    async fn a_retried_order_has_no_further_effect(&self) {
+        self.expect(20, 7, load("once@v1", 60), AnswerKind::Accepted)
             .await;
-        self.expect(20, 7, load("once@v1", 60), Said::Accepted)
+        self.expect(20, 7, load("once@v1", 60), AnswerKind::Accepted)
             .await;
         assert_eq!(self.inventory().await.used(), 60);
-        self.expect(21, 7, load("more@v1", 60), Said::NoMemory)
+        self.expect(21, 7, load("more@v1", 60), AnswerKind::NoMemory)
             .await;
         self.ready("once@v1").await;
-        self.expect(22, 7, unload("once@v1"), Said::Accepted).await;
+        self.expect(22, 7, unload("once@v1"), AnswerKind::Accepted)
+            .await;
         self.gone("once@v1").await;
-        self.expect(20, 7, load("once@v1", 60), Said::Accepted)
+        self.expect(20, 7, load("once@v1", 60), AnswerKind::Accepted)
             .await;
-        self.expect(21, 7, load("more@v1", 60), Said::NoMemory)
+        self.expect(21, 7, load("more@v1", 60), AnswerKind::NoMemory)
             .await;
-        assert_eq!(self.inventory().await.used(), 0, "old orders are over");
+        assert_eq!(
+            self.inventory().await.used(),
+            0,
+            "a retried old order has no effect"
+        );
     }
 
     async fn memory_is_never_overcommitted(&self) {
@@ -113,7 +124,9 @@
             self.send(30 + index, 7, order).await
         });
         let answers = join_all(loads).await;
-        let accepted = answers.iter().filter(|said| **said == Said::Accepted);
+        let accepted = answers
+            .iter()
+            .filter(|answer_kind| **answer_kind == AnswerKind::Accepted);
         assert_eq!(accepted.count(), 3, "{answers:?}");
         let inventory = self.inventory().await;
         assert_eq!(inventory.used(), 90);
@@ -121,30 +134,32 @@
         for (index, held) in (0..).zip(inventory.artifacts) {
             let name = held.artifact.to_string();
             self.ready(&name).await;
-            self.expect(40 + index, 7, unload(&name), Said::Accepted)
+            self.expect(40 + index, 7, unload(&name), AnswerKind::Accepted)
                 .await;
             self.gone(&name).await;
         }
     }
 
     async fn an_adapter_needs_its_base(&self) {
-        self.expect(50, 7, load("base:tuned@v1", 10), Said::Refused)
+        self.expect(50, 7, load("base:tuned@v1", 10), AnswerKind::Refused)
             .await;
-        self.expect(51, 7, load("base@v1", 50), Said::Accepted)
+        self.expect(51, 7, load("base@v1", 50), AnswerKind::Accepted)
             .await;
         self.ready("base@v1").await;
-        self.expect(52, 7, load("base:tuned@v1", 10), Said::Accepted)
+        self.expect(52, 7, load("base:tuned@v1", 10), AnswerKind::Accepted)
+            .await;
+        self.expect(53, 7, unload("base@v1"), AnswerKind::Refused)
             .await;
-        self.expect(53, 7, unload("base@v1"), Said::Refused).await;
         self.ready("base:tuned@v1").await;
-        self.expect(54, 7, unload("base:tuned@v1"), Said::Accepted)
+        self.expect(54, 7, unload("base:tuned@v1"), AnswerKind::Accepted)
             .await;
         self.gone("base:tuned@v1").await;
-        self.expect(55, 7, unload("base@v1"), Said::Accepted).await;
+        self.expect(55, 7, unload("base@v1"), AnswerKind::Accepted)
+            .await;
         self.gone("base@v1").await;
     }
 
-    async fn an_unknown_stream_is_said_so(&self) {
+    async fn an_unknown_stream_is_reported(&self) {
         let attempt = AttemptId(77);
         let cancelled = self.api.cancel(self.address, attempt).await;
         assert_eq!(cancelled, Err(EngineError::UnknownStream));
@@ -152,13 +167,13 @@
         assert_eq!(exported, Err(EngineError::UnknownStream));
     }
 
-    /// Reads what it holds.
+    /// Reads the inventory.
     pub async fn inventory(&self) -> Inventory {
         let inventory = self.api.inventory(self.address).await;
-        inventory.expect("it answers")
+        inventory.expect("the engine responds")
     }
 
-    /// An order for its present start.
+    /// Builds an order for the engine's current boot.
     pub async fn order(&self, id: u128, term: u64, action: OrderAction) -> Order {
         Order {
             id: OrderId(id),
@@ -168,15 +183,15 @@
         }
     }
 
-    /// Sends an order and tells what the answer says.
-    pub async fn send(&self, id: u128, term: u64, action: OrderAction) -> Said {
+    /// Sends an order and returns the kind of its response.
+    pub async fn send(&self, id: u128, term: u64, action: OrderAction) -> AnswerKind {
         let order = self.order(id, term, action).await;
         let answer = self.api.order(self.address, &order).await;
-        said(&answer.expect("it answers"))
+        answer_kind(&answer.expect("the engine responds"))
     }
 
-    /// Sends an order and checks what the answer says.
-    pub async fn expect(&self, id: u128, term: u64, action: OrderAction, expected: Said) {
+    /// Sends an order and checks the kind of its response.
+    pub async fn expect(&self, id: u128, term: u64, action: OrderAction, expected: AnswerKind) {
         let text = format!("order {id} under term {term}: {action:?}");
         assert_eq!(self.send(id, term, action).await, expected, "{text}");
     }
@@ -186,12 +201,12 @@
         self.reach(text, Some(HeldState::Ready)).await;
     }
 
-    /// Waits until an artifact is gone.
+    /// Waits until an artifact is no longer in the inventory.
     pub async fn gone(&self, text: &str) {
         self.reach(text, None).await;
     }
 
-    /// Waits until an artifact is in a state; gives up after a while.
+    /// Waits until an artifact is in a state; panics after 500 polls, 10 ms apart.
     pub async fn reach(&self, text: &str, state: Option<HeldState>) {
         let wanted = artifact(text);
         for _ in 0..500 {
@@ -201,16 +216,16 @@
             }
             tokio::time::sleep(std::time::Duration::from_millis(10)).await;
         }
-        panic!("{text} does not become {state:?}");
+        panic!("{text} does not reach the state {state:?}");
     }
 }
 
-fn said(answer: &OrderAnswer) -> Said {
+fn answer_kind(answer: &OrderAnswer) -> AnswerKind {
     match answer {
-        OrderAnswer::Accepted(_) => Said::Accepted,
-        OrderAnswer::StaleTerm { .. } => Said::StaleTerm,
-        OrderAnswer::OtherBoot { .. } => Said::OtherBoot,
-        OrderAnswer::NoMemory { .. } => Said::NoMemory,
-        OrderAnswer::Refused { .. } => Said::Refused,
+        OrderAnswer::Accepted(_) => AnswerKind::Accepted,
+        OrderAnswer::StaleTerm { .. } => AnswerKind::StaleTerm,
+        OrderAnswer::OtherBoot { .. } => AnswerKind::OtherBoot,
+        OrderAnswer::NoMemory { .. } => AnswerKind::NoMemory,
+        OrderAnswer::Refused { .. } => AnswerKind::Refused,
     }
 }
--- a/crates/backends/tests/contracts/engines.rs
+++ b/crates/backends/tests/contracts/engines.rs
@@ -1,9 +1,9 @@
-//! Engines over HTTP against their stand-in: the contract, and faults of orders.
+//! HTTP engine client against the emulator: the contract, and faults of orders.
 
 use crate::engine_contract::{
-    EngineUnderTest, MEMORY, Said, artifact, engine_contract, load, unload,
+    AnswerKind, EngineUnderTest, MEMORY, artifact, engine_contract, load, unload,
 };
-use crate::limits::patient;
+use crate::limits::long_timeouts;
 use flaxward_backends::{EngineApi, EngineError, EngineHttp};
 use flaxward_emulator::fault::Strikes;
 use flaxward_emulator::{Engine, EngineConfig};
@@ -15,13 +15,13 @@
         ..EngineConfig::default()
     };
     let engine = Engine::start(config).await.expect("a port is free");
-    let client = EngineHttp::new(patient()).expect("the HTTP library is set up");
+    let client = EngineHttp::new(long_timeouts()).expect("the HTTP library is set up");
     let address = engine.address().to_string();
     (engine, client, address)
 }
 
 #[tokio::test]
-async fn the_client_and_the_stand_in_hold_the_contract() {
+async fn the_client_and_the_emulator_satisfy_the_contract() {
     let (engine, client, address) = engine().await;
     engine_contract(&client, &address).await;
     let record = engine.record();
@@ -30,7 +30,7 @@
 }
 
 #[tokio::test]
-async fn an_order_whose_answer_is_lost_can_be_sent_again() {
+async fn an_order_whose_response_is_lost_can_be_retried() {
     let (engine, client, address) = engine().await;
     let under_test = EngineUnderTest {
         api: &client,
@@ -58,12 +58,12 @@
     };
     engine.update_faults(|faults| faults.fail_loads = Strikes::next(1));
     under_test
-        .expect(1, 1, load("model@v1", 60), Said::Accepted)
+        .expect(1, 1, load("model@v1", 60), AnswerKind::Accepted)
         .await;
     under_test.reach("model@v1", Some(HeldState::Failed)).await;
     assert_eq!(under_test.inventory().await.used(), 0);
     under_test
-        .expect(2, 1, load("model@v1", 60), Said::Accepted)
+        .expect(2, 1, load("model@v1", 60), AnswerKind::Accepted)
         .await;
     under_test.ready("model@v1").await;
 }
@@ -77,30 +77,30 @@
     };
     engine.update_faults(|faults| faults.stick_loads = Strikes::next(1));
     under_test
-        .expect(1, 1, load("stuck@v1", 60), Said::Accepted)
+        .expect(1, 1, load("stuck@v1", 60), AnswerKind::Accepted)
         .await;
     under_test
-        .expect(2, 1, load("model@v1", 60), Said::NoMemory)
+        .expect(2, 1, load("model@v1", 60), AnswerKind::NoMemory)
         .await;
     under_test
-        .expect(3, 1, unload("stuck@v1"), Said::Accepted)
+        .expect(3, 1, unload("stuck@v1"), AnswerKind::Accepted)
         .await;
     under_test.gone("stuck@v1").await;
     under_test
-        .expect(4, 1, load("model@v1", 60), Said::Accepted)
+        .expect(4, 1, load("model@v1", 60), AnswerKind::Accepted)
         .await;
     under_test.ready("model@v1").await;
 }
 
 #[tokio::test]
-async fn a_crashed_engine_is_another_boot_and_empty() {
+async fn a_crashed_engine_restarts_empty_with_a_new_boot_id() {
     let (engine, client, address) = engine().await;
     let under_test = EngineUnderTest {
         api: &client,
         address: &address,
     };
     under_test
-        .expect(1, 5, load("model@v1", 60), Said::Accepted)
+        .expect(1, 5, load("model@v1", 60), AnswerKind::Accepted)
         .await;
     under_test.ready("model@v1").await;
     let late = under_test.order(2, 5, OrderAction::Seal).await;
@@ -114,7 +114,7 @@
 }
 
 #[tokio::test]
-async fn an_engine_that_is_down_or_gone_did_certainly_nothing() {
+async fn an_engine_that_is_down_or_removed_did_not_act() {
     let (engine, client, address) = engine().await;
     let under_test = EngineUnderTest {
         api: &client,
--- a/crates/backends/tests/contracts/limits.rs
+++ b/crates/backends/tests/contracts/limits.rs
@@ -1,11 +1,11 @@
-//! Time limits for tests.
+//! Timeouts for tests.
 
 use std::time::Duration;
 
 use flaxward_backends::http_client::TimeLimits;
 
-/// Limits that no healthy call runs into.
-pub fn patient() -> TimeLimits {
+/// Timeouts that no call without a fault exceeds.
+pub fn long_timeouts() -> TimeLimits {
     TimeLimits {
         connect: Duration::from_secs(5),
         call: Duration::from_secs(5),
@@ -13,10 +13,10 @@
     }
 }
 
-/// Limits that a delayed answer runs into.
-pub fn hasty() -> TimeLimits {
+/// Timeouts that a delayed response exceeds.
+pub fn short_timeouts() -> TimeLimits {
     TimeLimits {
         call: Duration::from_millis(200),
-        ..patient()
+        ..long_timeouts()
     }
 }
--- a/crates/backends/tests/contracts/machine_list.rs
+++ b/crates/backends/tests/contracts/machine_list.rs
@@ -1,4 +1,4 @@
-//! The machine list over HTTP against its stand-in.
+//! HTTP client of the machine list against the emulator.
 
 use flaxward_backends::http_client::TimeLimits;
 use flaxward_backends::{MachineList, MachinesHttp};
@@ -7,7 +7,7 @@
 use flaxward_types::{ServiceName, ZoneName};
 
 #[tokio::test]
-async fn machines_come_leave_and_are_gone_for_good() {
+async fn machines_are_added_leave_and_are_removed_permanently() {
     let zone = ZoneName::literal("north");
     let service = ServiceName::literal("field-api");
     let mut platform = Platform::start(PlatformConfig {
@@ -23,7 +23,7 @@
     let url = platform.machines.url();
     let list = MachinesHttp::new(&url, TimeLimits::default()).expect("the HTTP library is set up");
 
-    let machines = list.machines().await.expect("it answers");
+    let machines = list.machines().await.expect("the machine list responds");
     assert_eq!(machines, platform.machines.current());
     assert_eq!(machines.len(), 3);
     let mut engines = machines.iter().filter(|m| m.role == MachineRole::Engine);
@@ -36,17 +36,17 @@
     );
 
     platform.machines.leave(&engine.name);
-    let machines = list.machines().await.expect("it answers");
+    let machines = list.machines().await.expect("the machine list responds");
     let leaving = machines.iter().filter(|machine| machine.leaving);
     let leaving: Vec<_> = leaving.map(|machine| machine.name.clone()).collect();
     assert_eq!(leaving, vec![engine.name.clone()]);
 
     platform.reclaim(&engine.name).await;
-    let machines = list.machines().await.expect("it answers");
+    let machines = list.machines().await.expect("the machine list responds");
     assert!(machines.iter().all(|machine| machine.name != engine.name));
     assert!(
         platform.machines.put(engine.clone()).is_err(),
-        "a name is never used again"
+        "a machine name is never reused"
     );
     let added = platform.add_engine(&zone).await.expect("a port is free");
     assert_ne!(added, engine.name);
@@ -72,7 +72,7 @@
     .expect("ports are free")
 }
 
-fn client_of(platform: &Platform) -> MachinesHttp {
+fn machine_list_client(platform: &Platform) -> MachinesHttp {
     let url = platform.machines.url();
     MachinesHttp::new(&url, TimeLimits::default()).expect("the HTTP library is set up")
 }
@@ -80,26 +80,29 @@
 #[tokio::test]
 async fn an_unchanged_list_is_sent_once_and_every_change_is_seen() {
     let platform = small_platform(MachineListConfig::default()).await;
-    let list = client_of(&platform);
+    let list = machine_list_client(&platform);
     for _ in 0..3 {
-        let machines = list.machines().await.expect("it answers");
+        let machines = list.machines().await.expect("the machine list responds");
         assert_eq!(machines, platform.machines.current());
     }
     assert_eq!(platform.machines.lists_sent(), 1);
 
     let leaving = platform.machines.current()[0].name.clone();
     platform.machines.leave(&leaving);
-    let machines = list.machines().await.expect("it answers");
-    assert!(machines[0].leaving, "a change is seen by the next read");
+    let machines = list.machines().await.expect("the machine list responds");
+    assert!(machines[0].leaving, "the next read returns the change");
     assert_eq!(platform.machines.lists_sent(), 2);
 
     platform.machines.update_faults(|faults| faults.down = true);
-    assert!(list.machines().await.is_err(), "a list held is no answer");
+    assert!(
+        list.machines().await.is_err(),
+        "the cached list must not hide an outage"
+    );
     platform
         .machines
         .update_faults(|faults| faults.down = false);
     platform.machines.remove(&leaving);
-    let machines = list.machines().await.expect("it answers");
+    let machines = list.machines().await.expect("the machine list responds");
     assert_eq!(machines, platform.machines.current());
     assert_eq!(machines.len(), 1);
     assert_eq!(platform.machines.lists_sent(), 3);
@@ -113,9 +116,9 @@
         ..MachineListConfig::default()
     })
     .await;
-    let list = client_of(&platform);
+    let list = machine_list_client(&platform);
     for _ in 0..3 {
-        let machines = list.machines().await.expect("it answers");
+        let machines = list.machines().await.expect("the machine list responds");
         assert_eq!(machines, platform.machines.current());
     }
     assert_eq!(platform.machines.lists_sent(), 3);
--- a/crates/backends/tests/contracts/main.rs
+++ b/crates/backends/tests/contracts/main.rs
@@ -1,4 +1,4 @@
-//! Contracts of the platform's traits, and the HTTP adapters held to them against the stand-ins.
+//! Contract tests of the platform traits, run with the HTTP adapters against the emulators.
 
 mod engine_contract;
 mod engines;
--- a/crates/backends/tests/contracts/object_api.rs
+++ b/crates/backends/tests/contracts/object_api.rs
@@ -1,6 +1,6 @@
-//! The object API over HTTP against its stand-in: the contract, and faults.
+//! HTTP client of the object API against the emulator: the contract, and faults.
 
-use crate::limits::{hasty, patient};
+use crate::limits::{long_timeouts, short_timeouts};
 use crate::object_contract::{create, next_change, next_event, object_api_contract, replace};
 use flaxward_backends::{Collection, ObjectApi, ObjectsHttp, StoreError, WatchEvent};
 use flaxward_emulator::fault::Strikes;
@@ -17,40 +17,40 @@
 }
 
 fn client(server: &ObjectApiServer) -> ObjectsHttp {
-    ObjectsHttp::new(&server.url(), "north/first", patient()).expect("the URL is valid")
+    ObjectsHttp::new(&server.url(), "north/first", long_timeouts()).expect("the URL is valid")
 }
 
 #[tokio::test]
-async fn the_client_and_the_stand_in_hold_the_contract() {
+async fn the_client_and_the_emulator_satisfy_the_contract() {
     let server = server().await;
     object_api_contract(&client(&server)).await;
     server.shutdown().await;
 }
 
-/// What a call must say under a fault.
+/// Expected result of a call under a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Says {
+enum CallResult {
     Done,
     Unavailable,
     OutcomeUnknown,
 }
 
-fn says<T>(result: &Result<T, StoreError>) -> Says {
+fn call_result<T>(result: &Result<T, StoreError>) -> CallResult {
     match result {
-        Ok(_) => Says::Done,
-        Err(StoreError::Unavailable(_)) => Says::Unavailable,
-        Err(StoreError::OutcomeUnknown(_)) => Says::OutcomeUnknown,
-        Err(other) => panic!("no fault explains {other:?}"),
+        Ok(_) => CallResult::Done,
+        Err(StoreError::Unavailable(_)) => CallResult::Unavailable,
+        Err(StoreError::OutcomeUnknown(_)) => CallResult::OutcomeUnknown,
+        Err(other) => panic!("unexpected error {other:?}"),
     }
 }
 
-/// A fault, and what reads and writes must say of it.
+/// A fault with the expected results of reads and writes.
 struct FaultCase {
     name: &'static str,
     set: fn(&mut ObjectApiFaults),
-    read: Says,
-    write: Says,
-    /// Whether the write is carried out all the same.
+    read: CallResult,
+    write: CallResult,
+    /// Whether the write is applied regardless of its result.
     applied: bool,
 }
 
@@ -58,22 +58,22 @@
     FaultCase {
         name: "none",
         set: |_| {},
-        read: Says::Done,
-        write: Says::Done,
+        read: CallResult::Done,
+        write: CallResult::Done,
         applied: true,
     },
     FaultCase {
         name: "down",
         set: |faults| faults.down = true,
-        read: Says::Unavailable,
-        write: Says::Unavailable,
+        read: CallResult::Unavailable,
+        write: CallResult::Unavailable,
         applied: false,
     },
     FaultCase {
-        name: "slower than the limit",
+        name: "delay beyond the timeout",
         set: |faults| faults.delay_ms = 60_000,
-        read: Says::Unavailable,
-        write: Says::OutcomeUnknown,
+        read: CallResult::Unavailable,
+        write: CallResult::OutcomeUnknown,
         applied: false,
     },
     FaultCase {
@@ -81,8 +81,8 @@
         set: |faults| {
             faults.cut_zones.insert("north".to_owned());
         },
-        read: Says::Unavailable,
-        write: Says::OutcomeUnknown,
+        read: CallResult::Unavailable,
+        write: CallResult::OutcomeUnknown,
         applied: false,
     },
     FaultCase {
@@ -90,53 +90,54 @@
         set: |faults| {
             faults.cut_zones.insert("south".to_owned());
         },
-        read: Says::Done,
-        write: Says::Done,
+        read: CallResult::Done,
+        write: CallResult::Done,
         applied: true,
     },
     FaultCase {
-        name: "answers are lost",
+        name: "responses are lost",
         set: |faults| faults.lose_answers = Strikes::always(),
-        read: Says::Done,
-        write: Says::OutcomeUnknown,
+        read: CallResult::Done,
+        write: CallResult::OutcomeUnknown,
         applied: true,
     },
     FaultCase {
-        name: "answers of another collection are lost",
+        name: "responses of another collection are lost",
         set: |faults| {
             faults.lose_answers = Strikes::always();
             faults.collections.insert("quotas".to_owned());
         },
-        read: Says::Done,
-        write: Says::Done,
+        read: CallResult::Done,
+        write: CallResult::Done,
         applied: true,
     },
     FaultCase {
-        name: "the write comes much later",
+        name: "the write is applied much later",
         set: |faults| {
             faults.late_writes = Strikes::always();
             faults.late_ms = 60_000;
         },
-        read: Says::Done,
-        write: Says::OutcomeUnknown,
+        read: CallResult::Done,
+        write: CallResult::OutcomeUnknown,
         applied: false,
     },
 ];
 
 #[tokio::test]
-async fn a_fault_is_told_for_what_it_proves() {
+async fn a_fault_is_classified_by_whether_the_write_may_be_applied() {
     for case in FAULTS {
         let server = server().await;
-        let patient = client(&server);
-        let object = create(&patient, "object", 1).await;
-        let hasty = ObjectsHttp::new(&server.url(), "north/first", hasty()).expect("a valid URL");
+        let setup_client = client(&server);
+        let object = create(&setup_client, "object", 1).await;
+        let test_client =
+            ObjectsHttp::new(&server.url(), "north/first", short_timeouts()).expect("a valid URL");
         server.update_faults(case.set);
-        let read = hasty.get(Collection::Leases, "object").await;
-        assert_eq!(says(&read), case.read, "read: {}", case.name);
-        let list = hasty.list(Collection::Leases).await;
-        assert_eq!(says(&list), case.read, "list: {}", case.name);
-        let write = replace(&hasty, &object, 2).await;
-        assert_eq!(says(&write), case.write, "write: {}", case.name);
+        let read = test_client.get(Collection::Leases, "object").await;
+        assert_eq!(call_result(&read), case.read, "read: {}", case.name);
+        let list = test_client.list(Collection::Leases).await;
+        assert_eq!(call_result(&list), case.read, "list: {}", case.name);
+        let write = replace(&test_client, &object, 2).await;
+        assert_eq!(call_result(&write), case.write, "write: {}", case.name);
         let applied = server.record().len() == 2;
         assert_eq!(applied, case.applied, "applied: {}", case.name);
         server.shutdown().await;
@@ -144,15 +145,15 @@
 }
 
 #[tokio::test]
-async fn nobody_listening_is_certain() {
+async fn a_refused_connection_is_reported_as_unavailable() {
     let server = server().await;
     let client = client(&server);
     let object = create(&client, "object", 1).await;
     server.shutdown().await;
     let write = replace(&client, &object, 2).await;
-    assert_eq!(says(&write), Says::Unavailable);
+    assert_eq!(call_result(&write), CallResult::Unavailable);
     let watch = client.watch(Collection::Leases, object.version).await;
-    assert_eq!(says(&watch), Says::Unavailable);
+    assert_eq!(call_result(&watch), CallResult::Unavailable);
 }
 
 #[tokio::test]
@@ -160,33 +161,37 @@
     let server = server().await;
     let client = client(&server);
     let object = create(&client, "object", 1).await;
-    replace(&client, &object, 2).await.expect("it is current");
+    replace(&client, &object, 2)
+        .await
+        .expect("the version is current");
     server.compact();
     let watch = client.watch(Collection::Leases, object.version).await;
     assert!(matches!(watch, Err(StoreError::Compacted)));
     let revision = client
         .list(Collection::Leases)
         .await
-        .expect("it answers")
+        .expect("the object API responds")
         .revision;
     let watch = client.watch(Collection::Leases, revision).await;
-    assert!(watch.is_ok(), "a fresh list can be watched from");
+    assert!(watch.is_ok(), "a watch from a fresh list is accepted");
 }
 
 #[tokio::test]
-async fn a_watch_of_a_quiet_collection_is_carried_on_by_bookmarks() {
+async fn a_watch_of_an_unchanged_collection_advances_by_bookmarks() {
     let server = server().await;
     let client = client(&server);
     let first = create(&client, "object", 1).await;
     let mut watch = client
         .watch(Collection::Quotas, first.version)
         .await
-        .expect("it is recent");
-    let second = replace(&client, &first, 2).await.expect("it is current");
+        .expect("the revision is recent");
+    let second = replace(&client, &first, 2)
+        .await
+        .expect("the version is current");
     loop {
-        let event = next_event(&mut watch).await.expect("it goes on");
+        let event = next_event(&mut watch).await.expect("the watch stays open");
         let Ok(WatchEvent::Bookmark(revision)) = event else {
-            panic!("nothing happens in this collection: {event:?}");
+            panic!("unexpected event in an unchanged collection: {event:?}");
         };
         if revision >= second.version {
             break;
@@ -202,15 +207,17 @@
     let mut watch = client
         .watch(Collection::Leases, first.version)
         .await
-        .expect("it is recent");
-    let second = replace(&client, &first, 2).await.expect("it is current");
+        .expect("the revision is recent");
+    let second = replace(&client, &first, 2)
+        .await
+        .expect("the version is current");
     assert_eq!(next_change(&mut watch).await, WatchEvent::Put(second));
     server.update_faults(|faults| faults.down = true);
     loop {
         match next_event(&mut watch).await {
             Some(Ok(WatchEvent::Bookmark(_))) => {}
             Some(Err(StoreError::Unavailable(_))) => break,
-            other => panic!("an error is due, not {other:?}"),
+            other => panic!("expected an error, got {other:?}"),
         }
     }
 }
--- a/crates/backends/tests/contracts/object_contract.rs
+++ b/crates/backends/tests/contracts/object_contract.rs
@@ -1,4 +1,4 @@
-//! What every object API must hold.
+//! Contract of every [`ObjectApi`] implementation.
 
 use std::time::Duration;
 
@@ -11,18 +11,18 @@
 
 const LEASES: Collection = Collection::Leases;
 
-/// Longest wait for something that must come.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Timeout for an event that must arrive.
+const EVENT_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Checks the whole contract; the collections must be empty.
 pub async fn object_api_contract(api: &dyn ObjectApi) {
     objects_have_versions_and_operations(api).await;
-    a_write_that_names_another_version_changes_nothing(api).await;
+    a_write_with_a_stale_version_changes_nothing(api).await;
     a_race_has_one_winner(api).await;
     a_race_to_create_has_one_winner(api).await;
     a_watch_misses_nothing_after_a_list(api).await;
-    names_need_no_care(api).await;
-    a_selection_shows_what_has_the_value(api).await;
+    names_are_escaped_in_urls(api).await;
+    a_selection_returns_the_matching_objects(api).await;
 }
 
 async fn objects_have_versions_and_operations(api: &dyn ObjectApi) {
@@ -31,19 +31,21 @@
     let created = create(api, "first", 1).await;
     assert_eq!(created.operation, Some(OperationId(1)));
     assert_eq!(created.replaced, None);
-    let replaced = replace(api, &created, 2).await.expect("it is current");
+    let replaced = replace(api, &created, 2)
+        .await
+        .expect("the version is current");
     assert_eq!(replaced.replaced, Some(created.version));
     assert!(replaced.version > created.version);
     assert_eq!(api.get(LEASES, "first").await, Ok(replaced.clone()));
     let elsewhere = api
         .create(Collection::Quotas, "first", OperationId(3), json!({}))
         .await
-        .expect("collections are apart");
+        .expect("collections have separate names");
     assert!(
         elsewhere.version > replaced.version,
-        "one order of revisions"
+        "revisions are ordered across collections"
     );
-    let list = api.list(LEASES).await.expect("it answers");
+    let list = api.list(LEASES).await.expect("the object API responds");
     assert!(list.revision >= elsewhere.version);
     assert_eq!(list.items, vec![replaced.clone()]);
     let removed = api.delete(LEASES, "first", replaced.version).await;
@@ -53,7 +55,7 @@
     assert_eq!(again, Err(StoreError::NotFound));
 }
 
-async fn a_selection_shows_what_has_the_value(api: &dyn ObjectApi) {
+async fn a_selection_returns_the_matching_objects(api: &dyn ObjectApi) {
     let put = async |name: &str, group: &str| {
         let body = json!({"group": group});
         let created = api.create(Collection::Claims, name, OperationId(60), body);
@@ -69,7 +71,7 @@
             limit,
         };
         let selected = api.select(Collection::Claims, &selection).await;
-        selected.expect("it answers")
+        selected.expect("the object API responds")
     };
     assert_eq!(select("a=b-1", 10).await, vec![first, second.clone()]);
     assert_eq!(select("a=b-1", 1).await.len(), 1);
@@ -83,9 +85,11 @@
     assert_eq!(select("a=b-1", 10).await, vec![second]);
 }
 
-async fn a_write_that_names_another_version_changes_nothing(api: &dyn ObjectApi) {
+async fn a_write_with_a_stale_version_changes_nothing(api: &dyn ObjectApi) {
     let old = create(api, "second", 10).await;
-    let current = replace(api, &old, 11).await.expect("it is current");
+    let current = replace(api, &old, 11)
+        .await
+        .expect("the version is current");
     let conflict = StoreError::Conflict(Box::new(current.clone()));
     assert_eq!(replace(api, &old, 12).await, Err(conflict.clone()));
     let removal = api.delete(LEASES, "second", old.version).await;
@@ -127,26 +131,35 @@
 
 async fn a_watch_misses_nothing_after_a_list(api: &dyn ObjectApi) {
     let gone = create(api, "gone", 30).await;
-    let revision = api.list(LEASES).await.expect("it answers").revision;
+    let revision = api
+        .list(LEASES)
+        .await
+        .expect("the object API responds")
+        .revision;
     let before = create(api, "before", 31).await;
-    let mut watch = api.watch(LEASES, revision).await.expect("it is recent");
-    let after = replace(api, &before, 32).await.expect("it is current");
+    let mut watch = api
+        .watch(LEASES, revision)
+        .await
+        .expect("the revision is recent");
+    let after = replace(api, &before, 32)
+        .await
+        .expect("the version is current");
     api.delete(LEASES, "gone", gone.version)
         .await
-        .expect("it is current");
+        .expect("the version is current");
     assert_eq!(next_change(&mut watch).await, WatchEvent::Put(before));
     assert_eq!(
         next_change(&mut watch).await,
         WatchEvent::Put(after.clone())
     );
     let WatchEvent::Deleted { name, revision } = next_change(&mut watch).await else {
-        panic!("the removal comes last");
+        panic!("the deletion must be the last event");
     };
     assert_eq!(name, "gone");
     assert!(revision > after.version);
 }
 
-async fn names_need_no_care(api: &dyn ObjectApi) {
+async fn names_are_escaped_in_urls(api: &dyn ObjectApi) {
     for name in [
         "model.m",
         "version.m@v2",
@@ -160,14 +173,14 @@
     }
 }
 
-/// The next change of a watch, past bookmarks.
+/// The next change of a watch, skipping bookmarks.
 pub async fn next_change(
     watch: &mut BoxStream<'static, Result<WatchEvent, StoreError>>,
 ) -> WatchEvent {
     loop {
-        let event = next_event(watch).await.expect("the watch goes on");
+        let event = next_event(watch).await.expect("the watch stays open");
         if !matches!(event, Ok(WatchEvent::Bookmark(_))) {
-            return event.expect("the watch holds");
+            return event.expect("the watch reports no error");
         }
     }
 }
@@ -176,9 +189,9 @@
 pub async fn next_event(
     watch: &mut BoxStream<'static, Result<WatchEvent, StoreError>>,
 ) -> Option<Result<WatchEvent, StoreError>> {
-    tokio::time::timeout(PATIENCE, watch.next())
+    tokio::time::timeout(EVENT_TIMEOUT, watch.next())
         .await
-        .expect("an event comes in time")
+        .expect("an event arrives within the timeout")
 }
 
 /// Creates a lease object under an operation.
--- a/crates/backends/tests/contracts/settled.rs
+++ b/crates/backends/tests/contracts/settled.rs
@@ -1,4 +1,4 @@
-//! Settling lost answers: named cases, and a property over random faults.
+//! Resolving lost responses: named cases, and a property test over random faults.
 
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -20,7 +20,7 @@
 use proptest::test_runner::{RngSeed, TestRunner};
 use serde_json::{Value, json};
 
-use crate::limits::patient;
+use crate::limits::long_timeouts;
 use crate::object_contract::{create, object_api_contract, replace, replace_version};
 
 const LEASES: Collection = Collection::Leases;
@@ -33,7 +33,7 @@
 }
 
 fn raw(server: &ObjectApiServer) -> ObjectsHttp {
-    ObjectsHttp::new(&server.url(), "north/first", patient()).expect("the URL is valid")
+    ObjectsHttp::new(&server.url(), "north/first", long_timeouts()).expect("the URL is valid")
 }
 
 fn settled<A: ObjectApi>(inner: A) -> SettledStore<A> {
@@ -52,7 +52,7 @@
 }
 
 #[tokio::test]
-async fn settling_keeps_the_contract() {
+async fn the_settled_store_satisfies_the_contract() {
     let server = server().await;
     object_api_contract(&settled(raw(&server))).await;
 }
@@ -60,19 +60,19 @@
 /// A named fault.
 type NamedFault = (&'static str, fn(&mut ObjectApiFaults));
 
-/// Faults under which a write must still succeed, once.
-const SURVIVED: &[NamedFault] = &[
-    ("one answer lost", |faults| {
+/// Faults under which a write must still succeed and be applied exactly once.
+const TOLERATED_FAULTS: &[NamedFault] = &[
+    ("one response lost", |faults| {
         faults.lose_answers = Strikes::next(1);
     }),
-    ("answers lost twice", |faults| {
+    ("two responses lost", |faults| {
         faults.lose_answers = Strikes::next(2);
     }),
-    ("a write that comes after its repetition", |faults| {
+    ("a write applied after its retry", |faults| {
         faults.late_writes = Strikes::next(1);
         faults.late_ms = 50;
     }),
-    ("a late write and a lost answer", |faults| {
+    ("a late write and a lost response", |faults| {
         faults.late_writes = Strikes::next(1);
         faults.lose_answers = Strikes::next(1);
         faults.late_ms = 50;
@@ -80,8 +80,8 @@
 ];
 
 #[tokio::test]
-async fn a_write_whose_answer_is_lost_is_settled() {
-    for (name, set) in SURVIVED {
+async fn a_write_whose_response_is_lost_is_resolved() {
+    for (name, set) in TOLERATED_FAULTS {
         let server = server().await;
         let store = settled(raw(&server));
         server.update_faults(set);
@@ -102,46 +102,46 @@
     }
 }
 
-/// What happens besides to the first write whose answer is lost.
+/// Concurrent changes around the first write, whose response is lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Meanwhile {
-    /// It is applied, and then another operation replaces what it wrote.
-    AppliedAndOvertaken,
-    /// It is not applied, and another operation replaces the version it named.
-    NotAppliedAndBeaten,
-    /// It is not applied, and two other operations follow each other.
-    NotAppliedAndBeatenTwice,
+enum Interference {
+    /// The write is applied, and then another operation replaces the object.
+    AppliedThenReplaced,
+    /// The write is not applied, and another operation replaces the expected version.
+    NotAppliedReplacedOnce,
+    /// The write is not applied, and two other operations replace the object one after the other.
+    NotAppliedReplacedTwice,
 }
 
-/// An object API whose first replacement is interfered with.
-struct Interfered {
+/// Object API that makes concurrent changes during the first replacement.
+struct InterferingStore {
     inner: ObjectsHttp,
-    meanwhile: Meanwhile,
+    interference: Interference,
     calls: AtomicU32,
 }
 
-impl Interfered {
+impl InterferingStore {
     async fn interfere(&self, name: &str, expected: Revision) {
-        let others = match self.meanwhile {
-            Meanwhile::NotAppliedAndBeatenTwice => 2,
+        let others = match self.interference {
+            Interference::NotAppliedReplacedTwice => 2,
             _ => 1,
         };
-        let mut version = match self.meanwhile {
-            Meanwhile::AppliedAndOvertaken => {
+        let mut version = match self.interference {
+            Interference::AppliedThenReplaced => {
                 let ours = self.inner.get(LEASES, name).await;
-                ours.expect("it is there").version
+                ours.expect("the object exists").version
             }
             _ => expected,
         };
         for other in 0..others {
             let object = replace_version(&self.inner, name, version, 900 + other).await;
-            version = object.expect("it is current").version;
+            version = object.expect("the version is current").version;
         }
     }
 }
 
 #[async_trait]
-impl ObjectApi for Interfered {
+impl ObjectApi for InterferingStore {
     async fn get(&self, collection: Collection, name: &str) -> Result<Object, StoreError> {
         self.inner.get(collection, name).await
     }
@@ -178,7 +178,7 @@
     ) -> Result<Object, StoreError> {
         let first = self.calls.fetch_add(1, Ordering::SeqCst) == 0;
         let mut result = Err(StoreError::OutcomeUnknown("not sent".to_owned()));
-        if !first || self.meanwhile == Meanwhile::AppliedAndOvertaken {
+        if !first || self.interference == Interference::AppliedThenReplaced {
             let write = self
                 .inner
                 .replace(collection, name, expected, operation, body);
@@ -188,7 +188,9 @@
             return result;
         }
         self.interfere(name, expected).await;
-        Err(StoreError::OutcomeUnknown("lost on purpose".to_owned()))
+        Err(StoreError::OutcomeUnknown(
+            "response dropped by the test".to_owned(),
+        ))
     }
 
     async fn delete(
@@ -210,18 +212,18 @@
 }
 
 #[tokio::test]
-async fn a_conflict_is_said_only_when_it_is_proven() {
+async fn a_conflict_is_reported_only_when_it_is_proven() {
     let cases = [
-        (Meanwhile::AppliedAndOvertaken, false),
-        (Meanwhile::NotAppliedAndBeaten, true),
-        (Meanwhile::NotAppliedAndBeatenTwice, false),
+        (Interference::AppliedThenReplaced, false),
+        (Interference::NotAppliedReplacedOnce, true),
+        (Interference::NotAppliedReplacedTwice, false),
     ];
-    for (meanwhile, proven) in cases {
+    for (interference, proven) in cases {
         let server = server().await;
         let object = create(&raw(&server), "object", 1).await;
-        let store = settled(Interfered {
+        let store = settled(InterferingStore {
             inner: raw(&server),
-            meanwhile,
+            interference,
             calls: AtomicU32::new(0),
         });
         let result = replace(&store, &object, 2).await;
@@ -230,12 +232,12 @@
         assert_eq!(
             (conflict, unknown),
             (proven, !proven),
-            "{meanwhile:?}: {result:?}"
+            "{interference:?}: {result:?}"
         );
     }
 }
 
-/// A run of writers that race each other under faults.
+/// A run of concurrent writers under faults.
 #[derive(Clone, Debug)]
 struct Run {
     writers: u32,
@@ -258,7 +260,7 @@
     )
 }
 
-/// Lets the writers race and checks every result against what was applied.
+/// Runs the writers concurrently and checks every result against the writes applied.
 async fn check(run: &Run) -> Result<(), TestCaseError> {
     let server = server().await;
     create(&raw(&server), "object", 1).await;
@@ -269,14 +271,17 @@
     });
     let results = Mutex::new(Vec::new());
     let store = settled(raw(&server));
-    let (store, heard) = (&store, &results);
+    let (store, collected) = (&store, &results);
     let writers = (0..run.writers).map(|writer| async move {
         let writer = u128::from(writer);
         for write in 0..u128::from(run.writes) {
             let operation = 1000 * (writer + 1) + write;
             let current = store.get(LEASES, "object").await.expect("reads work");
             let result = replace(store, &current, operation).await;
-            heard.lock().expect("no panic").push((operation, result));
+            collected
+                .lock()
+                .expect("no panic")
+                .push((operation, result));
         }
     });
     join_all(writers).await;
@@ -284,14 +289,17 @@
     let record = server.record();
     for (operation, result) in results.lock().expect("no panic").iter() {
         let times = times_applied(&record, *operation);
-        prop_assert!(times <= 1, "{operation} was applied {times} times");
+        prop_assert!(
+            times <= 1,
+            "operation {operation} was applied {times} times"
+        );
         match result {
             Ok(object) => {
                 prop_assert_eq!(times, 1);
                 prop_assert_eq!(object.operation, Some(OperationId(*operation)));
             }
             Err(StoreError::OutcomeUnknown(_)) => {}
-            Err(error) => prop_assert_eq!(times, 0, "{} said {:?}", operation, error),
+            Err(error) => prop_assert_eq!(times, 0, "operation {} returned {:?}", operation, error),
         }
     }
     server.shutdown().await;
@@ -299,7 +307,7 @@
 }
 
 #[test]
-fn what_is_said_of_a_write_is_true() {
+fn the_reported_outcome_of_a_write_is_correct() {
     let cases = std::env::var("FLAXWARD_PROPTEST_CASES").ok();
     let config = ProptestConfig {
         cases: cases.and_then(|text| text.parse().ok()).unwrap_or(24),
@@ -311,7 +319,7 @@
     let mut runner = TestRunner::new(config);
     runner
         .run(&run(), |run| runtime.block_on(check(&run)))
-        .expect("it holds");
+        .expect("the property holds");
 }
 
 #[test]
