--- a/crates/backends/src/engine_http.rs
+++ b/crates/backends/src/engine_http.rs
@@ -8,7 +8,7 @@
 use serde::de::DeserializeOwned;
 
 use crate::engine::{EngineApi, EngineError};
-use crate::http_client::{Answer, CallError, TimeLimits, call, client, text_of};
+use crate::http_client::{Answer, CallError, Timeouts, call, client, text_of};
 
 const SUCCESS: std::ops::Range<u16> = 200..300;
 const NOT_FOUND: u16 = 404;
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug)]
 pub struct EngineHttp {
     client: Client,
-    limits: TimeLimits,
+    limits: Timeouts,
 }
 
 impl EngineHttp {
@@ -26,7 +26,7 @@
     ///
     /// # Errors
     /// Fails if the HTTP library cannot be set up.
-    pub fn new(limits: TimeLimits) -> Result<Self, EngineError> {
+    pub fn new(limits: Timeouts) -> Result<Self, EngineError> {
         let client = client(limits).map_err(|error| EngineError::Unreachable(text_of(&error)))?;
         Ok(Self { client, limits })
     }
--- a/crates/backends/src/http_client.rs
+++ b/crates/backends/src/http_client.rs
@@ -8,21 +8,21 @@
 
 /// Timeouts of an HTTP adapter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct TimeLimits {
+pub struct Timeouts {
     /// Timeout for opening a connection.
     pub connect: Duration,
     /// Timeout for a whole call including its response; does not apply to watches.
     pub call: Duration,
     /// Time without data after which a watch counts as broken.
-    pub silence: Duration,
+    pub idle: Duration,
 }
 
-impl Default for TimeLimits {
+impl Default for Timeouts {
     fn default() -> Self {
         Self {
             connect: Duration::from_secs(2),
             call: Duration::from_secs(10),
-            silence: Duration::from_secs(30),
+            idle: Duration::from_secs(30),
         }
     }
 }
@@ -31,7 +31,7 @@
 ///
 /// # Errors
 /// Fails if the HTTP library cannot be set up.
-pub fn client(limits: TimeLimits) -> Result<Client, reqwest::Error> {
+pub fn client(limits: Timeouts) -> Result<Client, reqwest::Error> {
     Client::builder()
         .no_proxy()
         .connect_timeout(limits.connect)
@@ -48,7 +48,7 @@
 }
 
 /// Sends a request and reads the complete response within the call timeout.
-pub(crate) async fn call(request: RequestBuilder, limits: TimeLimits) -> Result<Answer, CallError> {
+pub(crate) async fn call(request: RequestBuilder, limits: Timeouts) -> Result<Answer, CallError> {
     let response = request
         .timeout(limits.call)
         .send()
--- a/crates/backends/src/lib.rs
+++ b/crates/backends/src/lib.rs
@@ -13,7 +13,7 @@
 pub mod machines_http;
 pub mod objects;
 pub mod objects_http;
-pub mod settled;
+pub mod resolving;
 
 pub use engine::{EngineApi, EngineError};
 pub use engine_http::EngineHttp;
@@ -21,4 +21,4 @@
 pub use machines_http::MachinesHttp;
 pub use objects::{Collection, Object, ObjectApi, ObjectList, Selection, StoreError, WatchEvent};
 pub use objects_http::ObjectsHttp;
-pub use settled::SettledStore;
+pub use resolving::ResolvingStore;
--- a/crates/backends/src/machines_http.rs
+++ b/crates/backends/src/machines_http.rs
@@ -12,7 +12,7 @@
 use reqwest::{Client, RequestBuilder};
 use serde::Deserialize;
 
-use crate::http_client::{Answer, CallError, TimeLimits, call, client, text_of};
+use crate::http_client::{Answer, CallError, Timeouts, call, client, text_of};
 use crate::machines::{MachineList, MachineListError};
 
 const OK: u16 = 200;
@@ -23,7 +23,7 @@
 pub struct MachinesHttp {
     client: Client,
     url: String,
-    limits: TimeLimits,
+    limits: Timeouts,
     cached: Mutex<Option<CachedList>>,
 }
 
@@ -46,7 +46,7 @@
     ///
     /// # Errors
     /// Fails if the HTTP library cannot be set up.
-    pub fn new(url: &str, limits: TimeLimits) -> Result<Self, MachineListError> {
+    pub fn new(url: &str, limits: Timeouts) -> Result<Self, MachineListError> {
         let client = client(limits).map_err(|error| MachineListError(text_of(&error)))?;
         Ok(Self {
             client,
--- a/crates/backends/src/objects_http.rs
+++ b/crates/backends/src/objects_http.rs
@@ -12,7 +12,7 @@
 use crate::documents::{
     API_VERSION, Document, EventDocument, EventKind, ListDocument, StatusDocument,
 };
-use crate::http_client::{Answer, CallError, TimeLimits, call, call_error, client};
+use crate::http_client::{Answer, CallError, Timeouts, call, call_error, client};
 use crate::objects::{
     Collection, Object, ObjectApi, ObjectList, Selection, StoreError, WatchEvent,
 };
@@ -35,7 +35,7 @@
     client: Client,
     base: Url,
     identity: String,
-    limits: TimeLimits,
+    limits: Timeouts,
 }
 
 impl ObjectsHttp {
@@ -44,7 +44,7 @@
     ///
     /// # Errors
     /// Fails if the URL is invalid or cannot have paths, or the HTTP library cannot be set up.
-    pub fn new(base: &str, identity: &str, limits: TimeLimits) -> Result<Self, StoreError> {
+    pub fn new(base: &str, identity: &str, limits: Timeouts) -> Result<Self, StoreError> {
         let unusable = |text: String| StoreError::Unavailable(format!("{base}: {text}"));
         let url = Url::parse(base).map_err(|error| unusable(error.to_string()))?;
         if url.cannot_be_a_base() {
@@ -233,14 +233,14 @@
 /// Streams the events of an open watch until it ends or fails.
 fn events(
     response: reqwest::Response,
-    limits: TimeLimits,
+    limits: Timeouts,
 ) -> BoxStream<'static, Result<WatchEvent, StoreError>> {
     let body = response.bytes_stream().map_err(std::io::Error::other);
     let codec = LinesCodec::new_with_max_length(MAX_LINE_BYTES);
     let lines = FramedRead::new(StreamReader::new(body), codec);
     futures::stream::unfold(Some(lines), move |lines| async move {
         let mut lines = lines?;
-        let event = match tokio::time::timeout(limits.silence, lines.next()).await {
+        let event = match tokio::time::timeout(limits.idle, lines.next()).await {
             Err(_) => Err(StoreError::Unavailable(
                 "no data from the watch within the timeout".to_owned(),
             )),
--- a/crates/backends/src/settled.rs
+++ b/crates/backends/src/resolving.rs
@@ -22,30 +22,30 @@
 
 /// Retry limits for resolving a write whose response was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SettleLimits {
+pub struct RetryLimits {
     /// Maximum number of retries.
-    pub tries: u32,
+    pub max_retries: u32,
     /// Delay before each retry.
-    pub pause: Duration,
+    pub retry_delay: Duration,
     /// Total time for all retries, from the first lost response.
-    pub time: Duration,
+    pub total_timeout: Duration,
 }
 
-impl Default for SettleLimits {
+impl Default for RetryLimits {
     fn default() -> Self {
         Self {
-            tries: 5,
-            pause: Duration::from_millis(100),
-            time: Duration::from_secs(20),
+            max_retries: 5,
+            retry_delay: Duration::from_millis(100),
+            total_timeout: Duration::from_secs(20),
         }
     }
 }
 
 /// Object API that resolves lost responses where possible.
 #[derive(Clone, Debug)]
-pub struct SettledStore<A> {
+pub struct ResolvingStore<A> {
     inner: A,
-    limits: SettleLimits,
+    limits: RetryLimits,
 }
 
 /// A write that can be retried.
@@ -61,14 +61,14 @@
 
 /// Conclusion about a write whose response was lost, from the object read back.
 enum Finding {
-    Settled(Result<Object, StoreError>),
+    Resolved(Result<Object, StoreError>),
     /// The write can still take effect, so it may be retried.
     Open,
 }
 
-impl<A: ObjectApi> SettledStore<A> {
+impl<A: ObjectApi> ResolvingStore<A> {
     /// Wraps an object API.
-    pub fn new(inner: A, limits: SettleLimits) -> Self {
+    pub fn new(inner: A, limits: RetryLimits) -> Self {
         Self { inner, limits }
     }
 
@@ -79,7 +79,7 @@
 
     async fn write(&self, write: Write<'_>) -> Result<Object, StoreError> {
         match self.send(&write).await {
-            Err(StoreError::OutcomeUnknown(text)) => self.settle(&write, text).await,
+            Err(StoreError::OutcomeUnknown(text)) => self.resolve(&write, text).await,
             result => result,
         }
     }
@@ -102,12 +102,12 @@
         }
     }
 
-    async fn settle(&self, write: &Write<'_>, mut text: String) -> Result<Object, StoreError> {
-        let end = Instant::now() + self.limits.time;
-        for _ in 0..self.limits.tries {
-            tokio::time::sleep(self.limits.pause).await;
+    async fn resolve(&self, write: &Write<'_>, mut text: String) -> Result<Object, StoreError> {
+        let end = Instant::now() + self.limits.total_timeout;
+        for _ in 0..self.limits.max_retries {
+            tokio::time::sleep(self.limits.retry_delay).await;
             match tokio::time::timeout_at(end, self.read_back_and_retry(write)).await {
-                Ok(Ok(Finding::Settled(result))) => return result,
+                Ok(Ok(Finding::Resolved(result))) => return result,
                 Ok(Ok(Finding::Open)) => {}
                 Ok(Err(later)) => text = later,
                 Err(_) => break,
@@ -123,11 +123,11 @@
             Err(StoreError::NotFound) => classify_missing(write),
             Err(error) => return Err(error.to_string()),
         };
-        if let Finding::Settled(_) = found {
+        if let Finding::Resolved(_) = found {
             return Ok(found);
         }
         Ok(match self.send(write).await {
-            Ok(object) => Finding::Settled(Ok(object)),
+            Ok(object) => Finding::Resolved(Ok(object)),
             Err(StoreError::Exists(object) | StoreError::Conflict(object)) => {
                 classify_object(write, *object)
             }
@@ -139,13 +139,13 @@
 
 fn classify_object(write: &Write<'_>, object: Object) -> Finding {
     if object.operation == Some(write.operation) {
-        return Finding::Settled(Ok(object));
+        return Finding::Resolved(Ok(object));
     }
     if Some(object.version) == write.expected {
         return Finding::Open;
     }
     let proven = object.replaced == write.expected;
-    Finding::Settled(Err(match write.expected {
+    Finding::Resolved(Err(match write.expected {
         _ if !proven => superseded(),
         None => StoreError::Exists(Box::new(object)),
         Some(_) => StoreError::Conflict(Box::new(object)),
@@ -156,7 +156,7 @@
 fn classify_missing(write: &Write<'_>) -> Finding {
     match write.expected {
         None => Finding::Open,
-        Some(_) => Finding::Settled(Err(superseded())),
+        Some(_) => Finding::Resolved(Err(superseded())),
     }
 }
 
@@ -165,7 +165,7 @@
 }
 
 #[async_trait]
-impl<A: ObjectApi> ObjectApi for SettledStore<A> {
+impl<A: ObjectApi> ObjectApi for ResolvingStore<A> {
     async fn get(&self, collection: Collection, name: &str) -> Result<Object, StoreError> {
         self.inner.get(collection, name).await
     }
@@ -224,12 +224,12 @@
         expected: Revision,
     ) -> Result<(), StoreError> {
         let mut result = self.inner.delete(collection, name, expected).await;
-        let end = Instant::now() + self.limits.time;
-        for _ in 0..self.limits.tries {
+        let end = Instant::now() + self.limits.total_timeout;
+        for _ in 0..self.limits.max_retries {
             let Err(StoreError::OutcomeUnknown(_)) = result else {
                 return result;
             };
-            tokio::time::sleep(self.limits.pause).await;
+            tokio::time::sleep(self.limits.retry_delay).await;
             let again = self.inner.delete(collection, name, expected);
             match tokio::time::timeout_at(end, again).await {
                 Ok(later) => result = delete_result(later, expected),
--- a/crates/backends/tests/contracts/machine_list.rs
+++ b/crates/backends/tests/contracts/machine_list.rs
@@ -1,6 +1,6 @@
 //! HTTP client of the machine list against the emulator.
 
-use flaxward_backends::http_client::TimeLimits;
+use flaxward_backends::http_client::Timeouts;
 use flaxward_backends::{MachineList, MachinesHttp};
 use flaxward_emulator::{MachineListConfig, Platform, PlatformConfig, ZoneConfig};
 use flaxward_types::engine::MachineRole;
@@ -21,7 +21,7 @@
     .await
     .expect("ports are free");
     let url = platform.machines.url();
-    let list = MachinesHttp::new(&url, TimeLimits::default()).expect("the HTTP library is set up");
+    let list = MachinesHttp::new(&url, Timeouts::default()).expect("the HTTP library is set up");
 
     let machines = list.machines().await.expect("the machine list responds");
     assert_eq!(machines, platform.machines.current());
@@ -74,7 +74,7 @@
 
 fn machine_list_client(platform: &Platform) -> MachinesHttp {
     let url = platform.machines.url();
-    MachinesHttp::new(&url, TimeLimits::default()).expect("the HTTP library is set up")
+    MachinesHttp::new(&url, Timeouts::default()).expect("the HTTP library is set up")
 }
 
 #[tokio::test]
--- a/crates/backends/tests/contracts/main.rs
+++ b/crates/backends/tests/contracts/main.rs
@@ -6,4 +6,4 @@
 mod machine_list;
 mod object_api;
 mod object_contract;
-mod settled;
+mod resolving;
--- a/crates/backends/tests/contracts/settled.rs
+++ b/crates/backends/tests/contracts/resolving.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use async_trait::async_trait;
-use flaxward_backends::settled::SettleLimits;
+use flaxward_backends::resolving::RetryLimits;
 use flaxward_backends::{
-    Collection, Object, ObjectApi, ObjectList, ObjectsHttp, Selection, SettledStore, StoreError,
+    Collection, Object, ObjectApi, ObjectList, ObjectsHttp, ResolvingStore, Selection, StoreError,
     WatchEvent,
 };
 use flaxward_emulator::fault::Strikes;
@@ -36,13 +36,13 @@
     ObjectsHttp::new(&server.url(), "north/first", long_timeouts()).expect("the URL is valid")
 }
 
-fn settled<A: ObjectApi>(inner: A) -> SettledStore<A> {
-    let limits = SettleLimits {
-        tries: 5,
-        pause: Duration::from_millis(5),
-        time: Duration::from_secs(10),
+fn resolving<A: ObjectApi>(inner: A) -> ResolvingStore<A> {
+    let limits = RetryLimits {
+        max_retries: 5,
+        retry_delay: Duration::from_millis(5),
+        total_timeout: Duration::from_secs(10),
     };
-    SettledStore::new(inner, limits)
+    ResolvingStore::new(inner, limits)
 }
 
 fn times_applied(record: &[ObjectWrite], operation: u128) -> usize {
@@ -52,9 +52,9 @@
 }
 
 #[tokio::test]
-async fn the_settled_store_satisfies_the_contract() {
+async fn the_resolving_store_satisfies_the_contract() {
     let server = server().await;
-    object_api_contract(&settled(raw(&server))).await;
+    object_api_contract(&resolving(raw(&server))).await;
 }
 
 /// A named fault.
@@ -83,7 +83,7 @@
 async fn a_write_whose_response_is_lost_is_resolved() {
     for (name, set) in TOLERATED_FAULTS {
         let server = server().await;
-        let store = settled(raw(&server));
+        let store = resolving(raw(&server));
         server.update_faults(set);
         let created = create(&store, "object", 1).await;
         server.update_faults(set);
@@ -221,7 +221,7 @@
     for (interference, proven) in cases {
         let server = server().await;
         let object = create(&raw(&server), "object", 1).await;
-        let store = settled(InterferingStore {
+        let store = resolving(InterferingStore {
             inner: raw(&server),
             interference,
             calls: AtomicU32::new(0),
@@ -270,7 +270,7 @@
         faults.late_ms = run.late_ms;
     });
     let results = Mutex::new(Vec::new());
-    let store = settled(raw(&server));
+    let store = resolving(raw(&server));
     let (store, collected) = (&store, &results);
     let writers = (0..run.writers).map(|writer| async move {
         let writer = u128::from(writer);
@@ -327,7 +327,7 @@
     let runtime = tokio::runtime::Runtime::new().expect("a runtime starts");
     runtime.block_on(async {
         let server = server().await;
-        let store = settled(raw(&server));
+        let store = resolving(raw(&server));
         let body = json!({"text": "\u{f1}\u{2192}\n\"", "list": [1, null, {"deep": true}]});
         let created = store
             .create(Collection::Claims, "claim", OperationId(1), body.clone())
--- a/crates/flaxward/src/daemon/mod.rs
+++ b/crates/flaxward/src/daemon/mod.rs
@@ -20,10 +20,10 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use anyhow::Context;
-use flaxward_backends::http_client::TimeLimits;
-use flaxward_backends::settled::SettleLimits;
+use flaxward_backends::http_client::Timeouts;
+use flaxward_backends::resolving::RetryLimits;
 use flaxward_backends::{
-    EngineApi, EngineHttp, MachineList, MachinesHttp, ObjectApi, ObjectsHttp, SettledStore,
+    EngineApi, EngineHttp, MachineList, MachinesHttp, ObjectApi, ObjectsHttp, ResolvingStore,
 };
 use flaxward_control::configuration::Configuration;
 use flaxward_control::coordinator::Coordinator;
@@ -280,10 +280,10 @@
     fn new(settings: &Settings) -> anyhow::Result<Self> {
         let platform = &settings.platform;
         let identity = format!("{}/{}", settings.daemon.zone, settings.daemon.name);
-        let limits = |call: Duration| TimeLimits {
+        let limits = |call: Duration| Timeouts {
             connect: call,
             call,
-            ..TimeLimits::default()
+            ..Timeouts::default()
         };
         let store = ObjectsHttp::new(
             platform.object_api.as_str(),
@@ -291,7 +291,7 @@
             limits(platform.object_api_timeout),
         )?;
         Ok(Self {
-            store: Arc::new(SettledStore::new(store, SettleLimits::default())),
+            store: Arc::new(ResolvingStore::new(store, RetryLimits::default())),
             machines: Arc::new(MachinesHttp::new(
                 platform.machine_list.as_str(),
                 limits(platform.object_api_timeout),
--- a/crates/gateway/benches/relay.rs
+++ b/crates/gateway/benches/relay.rs
@@ -14,7 +14,7 @@
 
 use bytesize::ByteSize;
 use flaxward_backends::ObjectsHttp;
-use flaxward_backends::http_client::TimeLimits;
+use flaxward_backends::http_client::Timeouts;
 use flaxward_control::configuration::Configuration;
 use flaxward_emulator::engine::{EngineTiming, LoadedAtStart};
 use flaxward_emulator::platform::ANY_PORT;
@@ -104,7 +104,7 @@
     let zone = ZoneName::literal("scl-a");
     let (configuration_sender, configuration) = watch::channel(Arc::new(configuration()));
     let (demands, mut demand_receiver) = mpsc::unbounded_channel();
-    let store = ObjectsHttp::new(store, "scl-a/d1", TimeLimits::default());
+    let store = ObjectsHttp::new(store, "scl-a/d1", Timeouts::default());
     let gateway = Gateway::new(
         GatewaySettings::new(vec![zone.clone()]),
         configuration,
--- a/crates/gateway/tests/gateway/support.rs
+++ b/crates/gateway/tests/gateway/support.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use bytesize::ByteSize;
-use flaxward_backends::http_client::TimeLimits;
-use flaxward_backends::settled::SettleLimits;
-use flaxward_backends::{ObjectsHttp, SettledStore};
+use flaxward_backends::http_client::Timeouts;
+use flaxward_backends::resolving::RetryLimits;
+use flaxward_backends::{ObjectsHttp, ResolvingStore};
 use flaxward_control::configuration::Configuration;
 use flaxward_emulator::engine::{EngineTiming, LoadedAtStart, StreamFault, StreamFaultRule};
 use flaxward_emulator::fault::Strikes;
@@ -161,7 +161,7 @@
         let objects = ObjectApiServer::start(ObjectApiConfig::default())
             .await
             .unwrap();
-        let store = ObjectsHttp::new(&objects.url(), "scl-a/d1", TimeLimits::default()).unwrap();
+        let store = ObjectsHttp::new(&objects.url(), "scl-a/d1", Timeouts::default()).unwrap();
         let mut settings = GatewaySettings::new(vec![zone()]);
         settings.admission.avoid_period = Duration::from_millis(20);
         configure(&mut settings);
@@ -173,7 +173,7 @@
             receiver,
             back_end_client(Duration::from_secs(1)).unwrap(),
             demands,
-            Arc::new(SettledStore::new(store, SettleLimits::default())),
+            Arc::new(ResolvingStore::new(store, RetryLimits::default())),
             DaemonName::literal("d1"),
         );
         let routing = Routing {
