--- a/crates/backends/src/engine_http.rs
+++ b/crates/backends/src/engine_http.rs
@@ -1,4 +1,4 @@
-//! Model engines over HTTP.
+//! HTTP client of the model engines.
 
 use async_trait::async_trait;
 use bytes::Bytes;
@@ -8,25 +8,25 @@
 use serde::de::DeserializeOwned;
 
 use crate::engine::{EngineApi, EngineError};
-use crate::http_client::{Answer, CallError, TimeLimits, call, client, text_of};
+use crate::http_client::{Answer, CallError, Timeouts, call, client, text_of};
 
 const SUCCESS: std::ops::Range<u16> = 200..300;
 const NOT_FOUND: u16 = 404;
 const SERVICE_UNAVAILABLE: u16 = 503;
 
-/// Client of model engines, for all of them.
+/// HTTP client shared by all model engines.
 #[derive(Clone, Debug)]
 pub struct EngineHttp {
     client: Client,
-    limits: TimeLimits,
+    limits: Timeouts,
 }
 
 impl EngineHttp {
-    /// A client.
+    /// Creates a client.
     ///
     /// # Errors
     /// Fails if the HTTP library cannot be set up.
-    pub fn new(limits: TimeLimits) -> Result<Self, EngineError> {
+    pub fn new(limits: Timeouts) -> Result<Self, EngineError> {
         let client = client(limits).map_err(|error| EngineError::Unreachable(text_of(&error)))?;
         Ok(Self { client, limits })
     }
--- a/crates/backends/tests/contracts/limits.rs
+++ b/crates/backends/tests/contracts/limits.rs
@@ -1,22 +1,22 @@
-//! Time limits for tests.
+//! Timeouts for tests.
 
 use std::time::Duration;
 
-use flaxward_backends::http_client::TimeLimits;
+use flaxward_backends::http_client::Timeouts;
 
-/// Limits that no healthy call runs into.
-pub fn patient() -> TimeLimits {
-    TimeLimits {
+/// Timeouts that no call without a fault exceeds.
+pub fn long_timeouts() -> Timeouts {
+    Timeouts {
         connect: Duration::from_secs(5),
         call: Duration::from_secs(5),
-        silence: Duration::from_secs(5),
+        idle: Duration::from_secs(5),
     }
 }
 
-/// Limits that a delayed answer runs into.
-pub fn hasty() -> TimeLimits {
-    TimeLimits {
+/// Timeouts that a delayed response exceeds.
+pub fn short_timeouts() -> Timeouts {
+    Timeouts {
         call: Duration::from_millis(200),
-        ..patient()
+        ..long_timeouts()
     }
 }
