--- a/crates/backends/src/lib.rs
+++ b/crates/backends/src/lib.rs
@@ -1,6 +1,6 @@
-//! Everything outside flaxward, behind narrow traits: the object API, the machine list, the model
-//! engines and plain services. Another surface of the same platform is another implementation of a
-//! trait here and no change elsewhere.
+//! Interfaces to external systems behind narrow traits: the object API, the machine list, the model
+//! engines and plain services. Supporting another platform API takes another implementation of a
+//! trait in this crate and no change elsewhere.
 
 #![warn(clippy::pedantic)]
 #![allow(clippy::module_name_repetitions, clippy::must_use_candidate)]
@@ -13,7 +13,7 @@
 pub mod machines_http;
 pub mod objects;
 pub mod objects_http;
-pub mod settled;
+pub mod resolving;
 
 pub use engine::{EngineApi, EngineError};
 pub use engine_http::EngineHttp;
@@ -21,4 +21,4 @@
 pub use machines_http::MachinesHttp;
 pub use objects::{Collection, Object, ObjectApi, ObjectList, Selection, StoreError, WatchEvent};
 pub use objects_http::ObjectsHttp;
-pub use settled::SettledStore;
+pub use resolving::ResolvingStore;
